--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -17,7 +17,7 @@
 use sablepass_core::expert::drift::{self, Estimate};
 use sablepass_core::expert::map::{Map, Shape};
 use sablepass_core::expert::plan::{self, Decision, Reason};
-use sablepass_core::expert::switch::{MEMBERS, Member, Message, Order, Output, Plan, Register};
+use sablepass_core::expert::switch::{MAX_MEMBERS, Member, Message, Order, Output, Plan, Register};
 use sablepass_core::id::Millis;
 use sablepass_core::reason::Ignored;
 use sablepass_edge::mesh::PeerKey;
@@ -109,7 +109,7 @@
     ) -> Result<Self, Refused> {
         let members: Vec<String> =
             it.it.members.iter().map(|name| format!("{}/{name}", it.partner)).collect();
-        if members.len() > MEMBERS {
+        if members.len() > MAX_MEMBERS {
             return Err(Refused::TooMany);
         }
         let me = members.iter().position(|it| it == target).ok_or(Refused::NotMember)?;
--- a/crates/sablepass-core/src/expert/barrier.rs
+++ b/crates/sablepass-core/src/expert/barrier.rs
@@ -27,7 +27,7 @@
 
 use snafu::{Snafu, ensure};
 
-use crate::expert::members::{self, MEMBERS, Members};
+use crate::expert::members::{self, MAX_MEMBERS, Members};
 use crate::expert::tree::Tree;
 
 mod ways;
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The group has more members than a set of votes takes.
-    #[snafu(display("a group of {size}; {MEMBERS} at most"))]
+    #[snafu(display("a group of {size}; {MAX_MEMBERS} at most"))]
     TooMany {
         /// Members of the group.
         size: u16,
@@ -210,7 +210,7 @@
 impl Member {
     /// Opens member `me` of `size`, whose orders carry fences above `fence`.
     pub fn open(me: u16, size: u16, fence: u64) -> Result<Self, Error> {
-        ensure!(size <= MEMBERS, TooManySnafu { size });
+        ensure!(size <= MAX_MEMBERS, TooManySnafu { size });
         members::check(me, size)?;
         let tree = Tree::open(size);
         Ok(Self {
--- a/crates/sablepass-core/src/expert/members.rs
+++ b/crates/sablepass-core/src/expert/members.rs
@@ -10,17 +10,17 @@
 /// Most members of a group. The users' largest deployment has 192 ranks in one;
 /// a set of so many takes 128 bytes in memory, and on the wire as many as its
 /// highest member needs.
-pub const MEMBERS: u16 = 1_024;
+pub const MAX_MEMBERS: u16 = 1_024;
 
 const WORD: usize = u64::BITS as usize;
-const WORDS: usize = MEMBERS as usize / WORD;
+const WORDS: usize = MAX_MEMBERS as usize / WORD;
 const BYTE: usize = u8::BITS as usize;
 
 /// Why bytes are no set of members of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// More bytes than any group needs.
-    #[snafu(display("{bytes} bytes; a set has {} at most", usize::from(MEMBERS) / BYTE))]
+    #[snafu(display("{bytes} bytes; a set has {} at most", usize::from(MAX_MEMBERS) / BYTE))]
     Length {
         /// Bytes given.
         bytes: usize,
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// The set. Members from [`MEMBERS`] on are never in it.
+/// The set. Members from [`MAX_MEMBERS`] on are never in it.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Members([u64; WORDS]);
 
@@ -92,7 +92,7 @@
 
     /// The members, in order.
     pub fn iter(&self) -> impl Iterator<Item = u16> {
-        (0..MEMBERS).filter(|it| self.contains(*it))
+        (0..MAX_MEMBERS).filter(|it| self.contains(*it))
     }
 
     /// The member with the highest number.
--- a/crates/sablepass-core/src/expert/switch.rs
+++ b/crates/sablepass-core/src/expert/switch.rs
@@ -191,7 +191,7 @@
 }
 
 /// Most members of a group.
-pub const MEMBERS: usize = 32;
+pub const MAX_MEMBERS: usize = 32;
 
 impl Member {
     /// Opens member `me` of `size`, with its engine's register as read.
--- a/crates/sablepass-core/tests/barrier.rs
+++ b/crates/sablepass-core/tests/barrier.rs
@@ -15,7 +15,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::expert::barrier::{Done, Error, Member, Message, Order, Output, Plan, Reading};
-use sablepass_core::expert::members::{self, MEMBERS, Members};
+use sablepass_core::expert::members::{self, MAX_MEMBERS, Members};
 use sablepass_core::expert::tree::Tree;
 
 /// A fault put into the engines or the network, which the search must find.
@@ -621,7 +621,7 @@
 
 #[test]
 fn verify_a_tree_reaches_each_member_once() {
-    for size in [1, 2, 3, 16, 72, 130, 192, 1_000, MEMBERS] {
+    for size in [1, 2, 3, 16, 72, 130, 192, 1_000, MAX_MEMBERS] {
         let tree = Tree::open(size);
         let mut seen = Members::one(0);
         for member in 0..size {
@@ -640,28 +640,28 @@
 #[test]
 fn verify_no_two_members_share_a_place_in_a_set() {
     let mut all = Members::default();
-    for member in 0..MEMBERS {
+    for member in 0..MAX_MEMBERS {
         assert!(!all.contains(member), "{member}");
         assert!(all.insert(member));
         assert_eq!((all.len(), all.last()), (u32::from(member) + 1, Some(member)));
         assert_eq!(Members::parse(&all.encode(), member + 1), Ok(all));
     }
-    assert!(!all.insert(MEMBERS), "no group has it");
+    assert!(!all.insert(MAX_MEMBERS), "no group has it");
 }
 
 #[test]
 fn verify_sets_of_other_groups_are_refused() {
     let unknown = |member, size| Err(members::Error::Unknown { member, size });
     assert_eq!(Members::parse(&Members::one(130).encode(), 130), unknown(130, 130));
-    assert_eq!(Members::parse(&[0; 129], MEMBERS), Err(members::Error::Length { bytes: 129 }));
+    assert_eq!(Members::parse(&[0; 129], MAX_MEMBERS), Err(members::Error::Length { bytes: 129 }));
     assert_eq!(Members::parse(&[], 2), Ok(Members::default()));
 }
 
 #[test]
 fn verify_groups_beyond_the_bound_are_refused() {
-    let size = MEMBERS + 1;
+    let size = MAX_MEMBERS + 1;
     assert_eq!(Member::open(0, size, 0).err(), Some(Error::TooMany { size }));
-    assert!(Member::open(MEMBERS - 1, MEMBERS, 0).is_ok());
+    assert!(Member::open(MAX_MEMBERS - 1, MAX_MEMBERS, 0).is_ok());
     let source = members::Error::Unknown { member: 4, size: 4 };
     assert_eq!(Member::open(4, 4, 0).err(), Some(Error::Members { source }));
 }
