--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -164,7 +164,7 @@
             return Vec::new();
         }
         let (version, epoch) = (wanted.version, group.reading.epoch);
-        let fence = member.want(version);
+        let fence = member.prepare(version);
         slog::info!(self.log, "map to be prepared"; "version" => version, "epoch" => epoch,
             "step" => group.reading.step, "fence" => fence, "orders" => wanted.orders);
         let body = engine::prepare(version, &by_rank(&wanted.map), epoch, fence);
@@ -182,7 +182,7 @@
             Done::Unknown => return self.order_prepare(),
             Done::Fenced => {
                 if let Some(member) = &mut self.member {
-                    member.fenced();
+                    member.raise_fence();
                 }
                 return self.order_prepare();
             }
--- a/crates/sablepass-core/src/expert/barrier.rs
+++ b/crates/sablepass-core/src/expert/barrier.rs
@@ -256,7 +256,7 @@
     /// Records that this agent has a version prepared, and gives the fence of
     /// that order. A plan for any other version is refused: its proposal was
     /// meant for a predecessor, whose votes are not known here.
-    pub fn want(&mut self, version: u64) -> u64 {
+    pub fn prepare(&mut self, version: u64) -> u64 {
         self.wanted = version;
         self.next_fence()
     }
@@ -267,7 +267,7 @@
     }
 
     /// Records that the engine knows a higher fence than that of an order.
-    pub fn fenced(&mut self) {
+    pub fn raise_fence(&mut self) {
         self.fence += FENCE_JUMP;
     }
 
@@ -355,7 +355,7 @@
             return;
         }
         if done == Done::Fenced {
-            self.fenced();
+            self.raise_fence();
         }
         match (order, done) {
             (Order::Bar, Done::Taken) => self.barred = true,
@@ -379,7 +379,7 @@
                 self.remember(plan, false);
                 self.refused.push(plan);
             }
-            Done::Fenced => self.fenced(),
+            Done::Fenced => self.raise_fence(),
             Done::Unknown => {}
             Done::Refused => self.resting = true,
         }
--- a/crates/sablepass-core/tests/barrier.rs
+++ b/crates/sablepass-core/tests/barrier.rs
@@ -243,7 +243,7 @@
                 // A plan is proposed once all accounts show what is prepared,
                 // each by order of its own agent.
                 for rank in 0..limits.members {
-                    self.agents[usize::from(rank)].want(plan.version);
+                    self.agents[usize::from(rank)].prepare(plan.version);
                     if self.waits[usize::from(rank)].is_none() {
                         self.read(rank);
                     }
@@ -695,7 +695,7 @@
     assert_eq!(ordered(&member.on_reading(idle)), Some(Order::Bar));
     member.on_done(Done::Taken);
     assert_eq!(ordered(&member.on_reading(idle)), None);
-    member.want(2);
+    member.prepare(2);
     assert_eq!(ordered(&member.propose(plan)), Some(Order::Hold(9)));
     member.on_done(Done::Taken);
     let held = Reading { held: Some(9), ..idle };
