--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -18,7 +18,7 @@
 use sablepass_core::expert::foresight::Foresight;
 use sablepass_core::expert::map::{Bounds, Map};
 use sablepass_core::expert::rebalance::{self, Rest};
-use sablepass_core::expert::watch::Watch;
+use sablepass_core::expert::watch::DemandMonitor;
 use sablepass_core::id::Millis;
 use sablepass_core::reason::Ignored;
 use sablepass_edge::caller::Answer;
@@ -125,7 +125,7 @@
     told: Option<PeerKey>,
     demand: Option<Demand>,
     /// What is in demand since the last shift.
-    watch: Watch,
+    watch: DemandMonitor,
     /// A map that was in force last, if it is known as a whole.
     base: Option<Base>,
     /// How even maps turn out, beside rank 0.
@@ -174,7 +174,7 @@
             counts: demand::Counts::default(),
             told: None,
             demand: None,
-            watch: Watch::default(),
+            watch: DemandMonitor::default(),
             base: None,
             foresight: Foresight::default(),
             outdated: false,
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -115,9 +115,9 @@
     /// better map.
     pub(super) fn plan(&mut self, now: Millis) -> Vec<Do> {
         let interval = self.demand.as_ref().and_then(|it| it.recent(1, 0));
-        let shifted = interval.is_some_and(|it| self.watch.take(now, it));
+        let shifted = interval.is_some_and(|it| self.watch.observe(now, it));
         if shifted {
-            slog::info!(self.log, "demand shifted"; "life" => self.watch.life(now),
+            slog::info!(self.log, "demand shifted"; "life" => self.watch.expected_remaining_ms(now),
                 "step" => self.group.as_ref().map(|it| it.reading.step));
             self.rest = None;
             self.outdated = true;
@@ -242,7 +242,7 @@
             spare: bounds.spare as usize,
             copy: f64::from(bounds.copy) / MICROS,
             part: self.expert_part(bounds),
-            life: self.watch.life(now),
+            life: self.watch.expected_remaining_ms(now),
             optimism: self.foresight.optimism(),
             ..rebalance::Options::default()
         };
--- a/crates/sablepass-core/src/expert/watch.rs
+++ b/crates/sablepass-core/src/expert/watch.rs
@@ -40,7 +40,7 @@
 
 /// The demand since the last shift.
 #[derive(Clone, Debug)]
-pub struct Watch {
+pub struct DemandMonitor {
     demand: Option<Vec<Vec<f64>>>,
     /// Intervals that it sums up, by their weight.
     intervals: f64,
@@ -51,7 +51,7 @@
     life: f64,
 }
 
-impl Default for Watch {
+impl Default for DemandMonitor {
     fn default() -> Self {
         Self {
             demand: None,
@@ -64,10 +64,10 @@
     }
 }
 
-impl Watch {
+impl DemandMonitor {
     /// Takes the choices of an interval, by layer and expert, and returns
     /// whether the demand has shifted.
-    pub fn take(&mut self, now: Millis, interval: Vec<Vec<f64>>) -> bool {
+    pub fn observe(&mut self, now: Millis, interval: Vec<Vec<f64>>) -> bool {
         if interval.iter().flatten().sum::<f64>() < LEAST_COUNTS {
             return false;
         }
@@ -115,7 +115,7 @@
 
     /// Milliseconds that the demand is expected to last from now on: as long as
     /// earlier ones did, or as this one has already.
-    pub fn life(&self, now: Millis) -> f64 {
+    pub fn expected_remaining_ms(&self, now: Millis) -> f64 {
         let age = self.since.map_or(0, |(at, _)| now.saturating_sub(at));
         self.life.max(age as f64)
     }
--- a/crates/sablepass-core/tests/foresight.rs
+++ b/crates/sablepass-core/tests/foresight.rs
@@ -9,7 +9,7 @@
 use sablepass_core::expert::foresight::{Foresight, JUDGED_AFTER};
 use sablepass_core::expert::map::{Map, Paces, Shape};
 use sablepass_core::expert::rebalance::{self, Options};
-use sablepass_core::expert::watch::Watch;
+use sablepass_core::expert::watch::DemandMonitor;
 
 const SHAPE: Shape = Shape { ranks: 48, layers: 3, experts: 96, slots: 3 };
 /// Milliseconds between two intervals.
@@ -44,7 +44,7 @@
 fn changes(seed: u64, learns: bool) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut map = Map::dealt(SHAPE).expect("built");
-    let (mut watch, mut foresight) = (Watch::default(), Foresight::default());
+    let (mut watch, mut foresight) = (DemandMonitor::default(), Foresight::default());
     let (mut steady, mut shifted) = (0, 0);
     let mut mix = popularity(&mut rng);
     for at in 0..70 {
@@ -52,7 +52,7 @@
             mix = popularity(&mut rng);
         }
         let now = at * INTERVAL;
-        if watch.take(now, interval(&mut rng, &mix)) {
+        if watch.observe(now, interval(&mut rng, &mix)) {
             foresight.shifted();
         }
         if foresight.is_due(now) {
--- a/crates/sablepass-core/tests/rebalance.rs
+++ b/crates/sablepass-core/tests/rebalance.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use sablepass_core::expert::map::{Expert, Map, Paces, Rank, Shape};
 use sablepass_core::expert::rebalance::{self, Change, Options, Rest};
-use sablepass_core::expert::watch::Watch;
+use sablepass_core::expert::watch::DemandMonitor;
 
 const SHAPE: Shape = Shape { ranks: 12, layers: 3, experts: 96, slots: 11 };
 /// Milliseconds between two intervals.
@@ -125,13 +125,13 @@
     let (mut false_alarms, mut intervals) = (0, 0);
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut watch = Watch::default();
+        let mut watch = DemandMonitor::default();
         let mut now = 0;
         for shift in 0..10 {
             let demand = mix(&mut rng);
             for at in 0..35 {
                 now += INTERVAL;
-                let seen = watch.take(now, interval(&mut rng, &demand, 4));
+                let seen = watch.observe(now, interval(&mut rng, &demand, 4));
                 match (shift, at) {
                     (0, 0) => assert!(!seen, "nothing to compare with"),
                     (_, 0) => assert!(seen, "seed {seed}: shift {shift} was not seen"),
@@ -143,7 +143,7 @@
             }
         }
         // A false alarm may cut one demand short, which weighs three tenths.
-        let life = watch.life(now);
+        let life = watch.expected_remaining_ms(now);
         assert!((2_400.0..=4_700.0).contains(&life), "seed {seed}: {life} ms between shifts");
     }
     assert!(false_alarms * 300 <= intervals, "{false_alarms} of {intervals}");
@@ -153,12 +153,12 @@
 fn verify_demand_forgets_what_was_before_a_shift() {
     let mut rng = StdRng::seed_from_u64(3);
     let (old, new) = (mix(&mut rng), mix(&mut rng));
-    let mut watch = Watch::default();
+    let mut watch = DemandMonitor::default();
     for at in 0..50 {
-        watch.take(at * INTERVAL, interval(&mut rng, &old, 4));
+        watch.observe(at * INTERVAL, interval(&mut rng, &old, 4));
     }
     let counts = interval(&mut rng, &new, 4);
-    assert!(watch.take(50 * INTERVAL, counts.clone()));
+    assert!(watch.observe(50 * INTERVAL, counts.clone()));
     assert_eq!(watch.demand(), Some(&counts));
 }
 
@@ -166,19 +166,22 @@
 fn verify_a_demand_that_was_there_before_says_nothing_of_how_long_they_last() {
     let mut rng = StdRng::seed_from_u64(4);
     let (old, new) = (mix(&mut rng), mix(&mut rng));
-    let mut watch = Watch::default();
-    let unknown = watch.life(0);
+    let mut watch = DemandMonitor::default();
+    let unknown = watch.expected_remaining_ms(0);
     for at in 0..8 {
-        watch.take(at * INTERVAL, interval(&mut rng, &old, 4));
+        watch.observe(at * INTERVAL, interval(&mut rng, &old, 4));
     }
-    assert!(watch.take(8 * INTERVAL, interval(&mut rng, &new, 4)));
-    assert!(watch.life(8 * INTERVAL) >= unknown, "counts began 0.8 s before the shift");
+    assert!(watch.observe(8 * INTERVAL, interval(&mut rng, &new, 4)));
+    assert!(
+        watch.expected_remaining_ms(8 * INTERVAL) >= unknown,
+        "counts began 0.8 s before the shift"
+    );
 }
 
 #[test]
 fn verify_few_choices_tell_nothing() {
-    let mut watch = Watch::default();
-    assert!(!watch.take(0, vec![vec![10.0, 20.0]]));
+    let mut watch = DemandMonitor::default();
+    assert!(!watch.observe(0, vec![vec![10.0, 20.0]]));
     assert_eq!(watch.demand(), None);
 }
 
