--- a/crates/sablepass-core/src/expert/barrier.rs
+++ b/crates/sablepass-core/src/expert/barrier.rs
@@ -217,7 +217,7 @@
             me,
             size,
             tree,
-            below: tree.below(me),
+            below: tree.subtree(me),
             fence,
             wanted: 0,
             barred: false,
--- a/crates/sablepass-core/src/expert/tree.rs
+++ b/crates/sablepass-core/src/expert/tree.rs
@@ -40,10 +40,10 @@
     }
 
     /// A member and all below it.
-    pub fn below(&self, member: u16) -> Members {
+    pub fn subtree(&self, member: u16) -> Members {
         let mut all = Members::one(member);
         for child in self.children(member) {
-            all = all.union(&self.below(child));
+            all = all.union(&self.subtree(child));
         }
         all
     }
--- a/crates/sablepass-core/tests/barrier.rs
+++ b/crates/sablepass-core/tests/barrier.rs
@@ -632,7 +632,7 @@
             }
         }
         assert_eq!(seen.len(), u32::from(size));
-        assert_eq!(tree.below(0), seen);
+        assert_eq!(tree.subtree(0), seen);
         assert_eq!(tree.parent(0), None);
     }
 }
