--- a/crates/sablepass-core/src/expert/members.rs
+++ b/crates/sablepass-core/src/expert/members.rs
@@ -1,83 +1,87 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A set of members of a group, a bit each.
+//! Bit set of the members of a group, used for the votes that members exchange.
 
 use std::fmt;
 
 use snafu::{Snafu, ensure};
 
-/// Most members of a group. The users' largest deployment has 192 ranks in one;
-/// a set of so many takes 128 bytes in memory, and on the wire as many as its
-/// highest member needs.
+/// Maximum number of members in a group. The largest known group has 192 ranks.
+/// A set takes 128 bytes in memory at this maximum; its wire encoding is only as
+/// long as its highest member requires.
 pub const MAX_MEMBERS: u16 = 1_024;
 
-const WORD: usize = u64::BITS as usize;
-const WORDS: usize = MAX_MEMBERS as usize / WORD;
-const BYTE: usize = u8::BITS as usize;
+const WORD_BITS: usize = u64::BITS as usize;
+const WORDS: usize = MAX_MEMBERS as usize / WORD_BITS;
+const BYTE_BITS: usize = u8::BITS as usize;
 
-/// Why bytes are no set of members of a group.
+/// An invalid member, or an invalid encoding of a set of members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// More bytes than any group needs.
-    #[snafu(display("{bytes} bytes; a set has {} at most", usize::from(MAX_MEMBERS) / BYTE))]
+    /// The encoding is longer than a set of [`MAX_MEMBERS`] members.
+    #[snafu(display(
+        "member set has {bytes} bytes; the maximum is {}",
+        usize::from(MAX_MEMBERS) / BYTE_BITS
+    ))]
     Length {
-        /// Bytes given.
+        /// Length of the encoding.
         bytes: usize,
     },
-    /// The group has no such member.
-    #[snafu(display("no member {member} in a group of {size}"))]
+    /// The member number is not below the size of the group.
+    #[snafu(display("member {member} does not exist in a group of {size} members"))]
     Unknown {
-        /// The member named.
+        /// Number of the member.
         member: u16,
-        /// Members of the group.
+        /// Number of members in the group.
         size: u16,
     },
 }
 
-/// Checks that a group of `size` has a member.
+/// Returns an error unless `member` is below the group's `size`.
 pub fn check(member: u16, size: u16) -> Result<(), Error> {
     ensure!(member < size, UnknownSnafu { member, size });
     Ok(())
 }
 
-/// The set. Members from [`MAX_MEMBERS`] on are never in it.
+/// Set of member numbers below [`MAX_MEMBERS`].
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Members([u64; WORDS]);
 
 impl Members {
-    /// The set of one member.
+    /// Returns the set that contains only `member`.
     pub fn one(member: u16) -> Self {
-        let mut it = Self::default();
-        it.insert(member);
-        it
+        let mut set = Self::default();
+        set.insert(member);
+        set
     }
 
-    /// Puts a member in. False, and nothing changed, for one that no group has.
+    /// Adds a member. Returns false and leaves the set unchanged if `member` is not
+    /// below [`MAX_MEMBERS`].
     pub fn insert(&mut self, member: u16) -> bool {
-        let at = usize::from(member);
-        let Some(word) = self.0.get_mut(at / WORD) else { return false };
-        *word |= 1 << (at % WORD);
+        let index = usize::from(member);
+        let Some(word) = self.0.get_mut(index / WORD_BITS) else { return false };
+        *word |= 1 << (index % WORD_BITS);
         true
     }
 
-    /// Whether a member is in.
+    /// Whether the set contains `member`.
     pub fn contains(&self, member: u16) -> bool {
-        let at = usize::from(member);
-        self.0.get(at / WORD).is_some_and(|word| word >> (at % WORD) & 1 == 1)
+        let index = usize::from(member);
+        self.0.get(index / WORD_BITS).is_some_and(|word| word >> (index % WORD_BITS) & 1 == 1)
     }
 
-    /// How many are in.
+    /// Number of members in the set.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|it| it.count_ones()).sum()
     }
 
-    /// Whether none is in.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Those that are in this set or the other.
+    /// Returns the members that are in either set.
     pub fn union(mut self, other: &Self) -> Self {
         for (word, it) in self.0.iter_mut().zip(&other.0) {
             *word |= it;
@@ -85,29 +89,29 @@
         self
     }
 
-    /// Whether all of another set are in.
+    /// Whether `other` is a subset of this set.
     pub fn contains_all(&self, other: &Self) -> bool {
         self.0.iter().zip(&other.0).all(|(word, it)| it & !word == 0)
     }
 
-    /// The members, in order.
+    /// Iterates over the members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u16> {
         (0..MAX_MEMBERS).filter(|it| self.contains(*it))
     }
 
-    /// The member with the highest number.
+    /// Returns the highest member, or `None` for an empty set.
     pub fn last(&self) -> Option<u16> {
         let word = self.0.iter().rposition(|it| *it != 0)?;
-        Some((word * WORD) as u16 + self.0[word].ilog2() as u16)
+        Some((word * WORD_BITS) as u16 + self.0[word].ilog2() as u16)
     }
 
-    /// Checks that all are members of a group of `size`.
+    /// Returns an error unless all members are below the group's `size`.
     pub fn check(&self, size: u16) -> Result<(), Error> {
         self.last().map_or(Ok(()), |it| check(it, size))
     }
 
-    /// The bytes used on the wire: eight members each, the lowest in the lowest
-    /// bit of the first, and none after the last that is not 0.
+    /// Encodes the set for the wire: eight members per byte, member 0 in the lowest
+    /// bit of the first byte, without trailing zero bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes: Vec<u8> = self.0.iter().flat_map(|it| it.to_le_bytes()).collect();
         let used = bytes.iter().rposition(|it| *it != 0).map_or(0, |last| last + 1);
@@ -115,12 +119,12 @@
         bytes
     }
 
-    /// Reads the bytes used on the wire as members of a group of `size`.
+    /// Decodes the wire encoding of a set of members of a group of `size`.
     pub fn parse(bytes: &[u8], size: u16) -> Result<Self, Error> {
-        ensure!(bytes.len() <= WORDS * WORD / BYTE, LengthSnafu { bytes: bytes.len() });
+        ensure!(bytes.len() <= WORDS * WORD_BITS / BYTE_BITS, LengthSnafu { bytes: bytes.len() });
         let mut set = Self::default();
-        for (at, byte) in bytes.iter().enumerate() {
-            set.0[at * BYTE / WORD] |= u64::from(*byte) << (at * BYTE % WORD);
+        for (index, byte) in bytes.iter().enumerate() {
+            set.0[index * BYTE_BITS / WORD_BITS] |= u64::from(*byte) << (index * BYTE_BITS % WORD_BITS);
         }
         set.check(size)?;
         Ok(set)
