--- a/crates/sablepass-core/src/expert/watch.rs
+++ b/crates/sablepass-core/src/expert/watch.rs
@@ -1,54 +1,62 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What is in demand since it last shifted, and for how long a demand lasts.
+//! Detects shifts of the expert demand, accumulates the demand since the last
+//! shift, and estimates how long it will last. The planner of a group uses it.
 //!
-//! Counts of an interval are compared with those since the last shift. How far
-//! apart two of the same demand are depends on how many requests an interval
-//! sees, so that is learnt, as the distance that two intervals would have if
-//! each of them stood for itself; the more intervals one side sums up, the
-//! smaller it is. An interval that is much further away than usual is of another
-//! demand, and what was counted before does not tell of it.
+//! The counts of each interval are compared with the sum of those since the last
+//! shift. The distance between two intervals of the same demand depends on the
+//! number of requests per interval, so its usual value and deviation are learnt as
+//! moving averages, scaled to two single intervals: the distance to a sum is smaller
+//! the more intervals the sum contains. An interval whose distance is far above the
+//! usual value belongs to a new demand, and the earlier counts are discarded.
 
 use crate::expert::demand;
 use crate::id::Millis;
 
-/// How many times the usual deviation an interval must be further away than
-/// usual. Of 6,800 intervals of four requests of very unlike size, 58, 29 and
-/// fewer than 23 were taken for a shift at 6, 7 and 8, and at 8 all of 180 shifts
-/// were seen in their first interval.
-const DEVIATIONS: f64 = 8.0;
-/// Usual distance and deviation as long as nothing is learnt, of one interval
-/// from a sum of many.
-const DISTANCE: f64 = 0.03;
-const DEVIATION: f64 = 0.02;
-/// Least deviation: with many requests an interval it would come near 0.
-const LEAST_DEVIATION: f64 = 0.01;
-/// Weight of an interval in what is usual: some 20 intervals.
-const LEARN: f64 = 0.05;
-/// Weight that older counts keep with each interval: half of the demand is of
-/// the last four.
-const KEEP: f64 = 0.85;
-/// Choices in an interval below which it tells nothing.
-const LEAST_COUNTS: f64 = 2_000.0;
-/// Shifts closer together count as one, which two intervals saw.
-const SAME_SHIFT: Millis = 400;
-/// How long a demand is taken to last before one was seen to end.
-const LIFE: f64 = 10_000.0;
-/// Weight of a demand in how long the next one is taken to last.
-const LIFE_WEIGHT: f64 = 0.3;
+/// Number of usual deviations above the usual distance from which an interval counts
+/// as a shift. Of 6,800 intervals without a shift, each of four requests of very
+/// different sizes, 58 were misdetected at 6, 29 at 7 and fewer than 23 at 8; at 8,
+/// all of 180 shifts were detected in their first interval.
+const SHIFT_DEVIATIONS: f64 = 8.0;
+/// Initial usual distance of an interval from a sum of many intervals.
+const INITIAL_DISTANCE: f64 = 0.03;
+/// Initial usual deviation of that distance.
+const INITIAL_DEVIATION: f64 = 0.02;
+/// Lower bound of the usual deviation, which would otherwise approach 0 with many
+/// requests per interval.
+const MIN_DEVIATION: f64 = 0.01;
+/// Weight of an interval in the moving averages of distance and deviation, which
+/// corresponds to about 20 intervals.
+const LEARNING_RATE: f64 = 0.05;
+/// Factor by which older counts decay per interval: about half of the accumulated
+/// demand stems from the last four intervals.
+const DECAY: f64 = 0.85;
+/// Expert choices that an interval needs to be evaluated.
+const MIN_COUNTS: f64 = 2_000.0;
+/// Minimum time between two shifts. A shift within an interval can be detected again
+/// in the next interval, and both count as one.
+const MIN_SHIFT_GAP: Millis = 400;
+/// Expected lifetime of a demand until a complete one has been observed.
+const INITIAL_LIFETIME_MS: f64 = 10_000.0;
+/// Weight of the latest demand's lifetime in the moving average.
+const LIFETIME_WEIGHT: f64 = 0.3;
 
-/// The demand since the last shift.
+/// Accumulates the demand since the last shift and detects the next one.
 #[derive(Clone, Debug)]
 pub struct DemandMonitor {
     demand: Option<Vec<Vec<f64>>>,
-    /// Intervals that it sums up, by their weight.
+    /// Sum of the decayed weights of the intervals in `demand`.
     intervals: f64,
-    distance: f64,
-    deviation: f64,
-    /// When it last shifted, and whether that was seen.
+    /// Usual distance between two intervals of the same demand.
+    usual_distance: f64,
+    /// Usual deviation from `usual_distance`.
+    usual_deviation: f64,
+    /// Start of the current demand, and whether its first interval was detected as a
+    /// shift. The demand in the first counts may be older than these.
     since: Option<(Millis, bool)>,
-    life: f64,
+    /// Moving average of the lifetimes of past demands.
+    lifetime_ms: f64,
 }
 
 impl Default for DemandMonitor {
@@ -56,19 +64,19 @@
         Self {
             demand: None,
             intervals: 0.0,
-            distance: DISTANCE,
-            deviation: DEVIATION,
+            usual_distance: INITIAL_DISTANCE,
+            usual_deviation: INITIAL_DEVIATION,
             since: None,
-            life: LIFE,
+            lifetime_ms: INITIAL_LIFETIME_MS,
         }
     }
 }
 
 impl DemandMonitor {
-    /// Takes the choices of an interval, by layer and expert, and returns
+    /// Evaluates the expert choices of an interval, by layer and expert, and returns
     /// whether the demand has shifted.
     pub fn observe(&mut self, now: Millis, interval: Vec<Vec<f64>>) -> bool {
-        if interval.iter().flatten().sum::<f64>() < LEAST_COUNTS {
+        if interval.iter().flatten().sum::<f64>() < MIN_COUNTS {
             return false;
         }
         let Some(demand) = &mut self.demand else {
@@ -78,51 +86,53 @@
             return false;
         };
         let distance = distance(demand, &interval) / (1.0 + 1.0 / self.intervals);
-        if distance > self.distance + DEVIATIONS * self.deviation {
+        if distance > self.usual_distance + SHIFT_DEVIATIONS * self.usual_deviation {
             self.demand = Some(interval);
             self.intervals = 1.0;
-            self.shifted(now);
+            self.record_shift(now);
             return true;
         }
-        let off = (distance - self.distance).abs();
-        self.distance += LEARN * (distance - self.distance);
-        self.deviation += LEARN * (off - self.deviation);
-        self.deviation = self.deviation.max(LEAST_DEVIATION);
-        self.intervals = KEEP * self.intervals + 1.0;
-        for (sum, it) in demand.iter_mut().flatten().zip(interval.iter().flatten()) {
-            *sum = KEEP * *sum + it;
+        let deviation = (distance - self.usual_distance).abs();
+        self.usual_distance += LEARNING_RATE * (distance - self.usual_distance);
+        self.usual_deviation += LEARNING_RATE * (deviation - self.usual_deviation);
+        self.usual_deviation = self.usual_deviation.max(MIN_DEVIATION);
+        self.intervals = DECAY * self.intervals + 1.0;
+        for (sum, count) in demand.iter_mut().flatten().zip(interval.iter().flatten()) {
+            *sum = DECAY * *sum + count;
         }
         false
     }
 
-    fn shifted(&mut self, now: Millis) {
-        let Some((since, seen)) = self.since else { return };
-        let lasted = now.saturating_sub(since);
-        if lasted < SAME_SHIFT {
+    fn record_shift(&mut self, now: Millis) {
+        let Some((since, start_detected)) = self.since else { return };
+        let lifetime = now.saturating_sub(since);
+        if lifetime < MIN_SHIFT_GAP {
             return;
         }
-        // Of a demand that was there before the first counts nobody knows how long it lasted.
-        if seen {
-            self.life += LIFE_WEIGHT * (lasted as f64 - self.life);
+        // A demand that began before the first counts has an unknown lifetime.
+        if start_detected {
+            self.lifetime_ms += LIFETIME_WEIGHT * (lifetime as f64 - self.lifetime_ms);
         }
         self.since = Some((now, true));
     }
 
-    /// What is in demand, by layer and expert; none before the first counts.
+    /// Returns the accumulated demand by layer and expert, or `None` before the first
+    /// counts.
     pub fn demand(&self) -> Option<&Vec<Vec<f64>>> {
         self.demand.as_ref()
     }
 
-    /// Milliseconds that the demand is expected to last from now on: as long as
-    /// earlier ones did, or as this one has already.
+    /// Returns the time in milliseconds for which the demand is expected to last from
+    /// `now` on: the average lifetime of earlier demands, or the age of the current
+    /// one if that is longer.
     pub fn expected_remaining_ms(&self, now: Millis) -> f64 {
-        let age = self.since.map_or(0, |(at, _)| now.saturating_sub(at));
-        self.life.max(age as f64)
+        let age = self.since.map_or(0, |(start, _)| now.saturating_sub(start));
+        self.lifetime_ms.max(age as f64)
     }
 }
 
-/// How far apart two demands are: 0 for the same mix, 1 at most, in the layer
-/// in which they differ most.
+/// Returns the distance between two demands in the layer in which they differ most:
+/// 0 for the same mix of experts, 1 at most.
 fn distance(a: &[Vec<f64>], b: &[Vec<f64>]) -> f64 {
     let layers = a.iter().zip(b).map(|(a, b)| 1.0 - demand::likeness(a, b));
     layers.fold(0.0, f64::max)
