--- a/crates/sablepass-core/src/expert/switch.rs
+++ b/crates/sablepass-core/src/expert/switch.rs
@@ -1,93 +1,94 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The switch of a group from one map to the next.
+//! Atomic switch of a group from one map to the next, for engines that store their
+//! vote. The agents of the group's members run this protocol.
 //!
-//! A plan names a version, a map and a step. Every member promises it or
-//! refuses it, and a vote never changes. The group switches at the named
-//! step if all promised, else not at all; so the outcome is a function of
-//! the votes, and any member can learn it by asking the rest. A member whose
-//! step has come and that does not know yet holds its engine there. That
-//! costs no step that could have been made: a group in lock-step cannot step
-//! without any one of its members.
+//! A plan names a version, a map and a step. Every member promises or refuses the
+//! plan, and a vote never changes. The group switches at the named step if all
+//! members promised, otherwise it does not switch. The outcome is therefore a
+//! function of the votes, and any member can learn it by querying the others. An
+//! engine that reaches the named step before the outcome is known waits there. This
+//! delays no step that could have run otherwise, since a group in lock-step cannot
+//! execute a step without all of its members.
 //!
-//! A vote is not the agent's memory but a fact of its engine: an engine
-//! arms a plan (yes) or bars a version (no), one or the other for good. A
-//! restarted agent reads it back, and a predecessor's late order finds the
-//! register as strict as an early one.
+//! Votes are stored by the engine, not by the agent: an engine either arms a plan
+//! (yes) or bars a version (no), and neither is revoked. A restarted agent reads the
+//! vote back, and a late order of its predecessor is checked against the same
+//! register as an order that arrives in time.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A plan of a switch. Two plans of one version differ in their id.
+/// A planned switch. Two plans for the same version differ in `step` or `digest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Plan {
-    /// Version of the new map; above that of the old one.
+    /// Version of the new map; higher than that of the old map.
     pub version: u64,
-    /// The first step on the new map.
+    /// First step that runs on the new map.
     pub step: u64,
-    /// Name of the map's content.
+    /// Digest of the map's content.
     pub digest: u64,
 }
 
-/// A plan that an engine has promised.
+/// A plan that an engine has promised to carry out if it is committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Armed {
-    /// The plan.
+    /// The promised plan.
     pub plan: Plan,
-    /// The outcome, once the engine was told.
+    /// The outcome, once the engine has received it.
     pub outcome: Option<Outcome>,
 }
 
-/// What becomes of a plan.
+/// Outcome of the vote on a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// All promised: the switch happens at the named step.
+    /// All members promised: the group switches at the named step.
     Commit,
-    /// One refused: it never happens.
+    /// A member refused: the group never switches by this plan.
     Abort,
 }
 
-/// What an engine keeps for its group's switches.
+/// Switch state that an engine stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Register {
-    /// The step that comes next.
+    /// The next step to execute.
     pub step: u64,
-    /// The plan whose map is in force; none for the first map.
+    /// Plan of the map in force; `None` for the initial map.
     pub current: Option<Plan>,
-    /// Plans of this version and below that are not armed are refused for good.
+    /// Plans with this version or a lower one are refused permanently unless armed.
     pub floor: u64,
-    /// The promised plan.
+    /// The promised plan, until the switch or its abort.
     pub armed: Option<Armed>,
 }
 
-/// An order to an engine.
+/// An order that an agent sends to its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Order {
-    /// Promise a plan; its map has been loaded beside the old one.
+    /// Promise a plan, whose map is already loaded beside the current one.
     Arm(Plan),
-    /// Refuse all plans of this version and below that are not armed.
+    /// Refuse all plans with this version or a lower one that are not armed.
     Bar(u64),
-    /// Switch at the named step.
+    /// Switch to the armed plan's map at its step.
     Commit(Plan),
     /// Drop the armed plan.
     Abort(Plan),
 }
 
 impl Register {
-    /// Version of the map in force; 0 for the first one.
+    /// Version of the map in force; 0 for the initial map.
     pub fn version(&self) -> u64 {
         self.current.map_or(0, |it| it.version)
     }
 
-    /// The least version that a new plan may have.
+    /// Lowest version that a new plan may have.
     pub fn next_version(&self) -> u64 {
         let armed = self.armed.map_or(0, |it| it.plan.version);
         self.floor.max(self.version()).max(armed) + 1
     }
 
-    /// Carries out an order, or refuses it without a change.
+    /// Carries out an order. Returns false and changes nothing if it is refused.
     pub fn apply(&mut self, order: Order) -> bool {
         match order {
             Order::Arm(plan) => {
@@ -118,13 +119,14 @@
         true
     }
 
-    /// Whether the next step may be made.
+    /// Whether the next step may be executed: not at an armed plan's step while the
+    /// outcome is unknown.
     pub fn may_step(&self) -> bool {
         self.armed.is_none_or(|it| it.plan.step > self.step || it.outcome.is_some())
     }
 
-    /// Makes the next step; the map in force for it is that of `current`.
-    /// Only to be called when [`Register::may_step`].
+    /// Executes the next step, on the map of `current` as updated here. Must only be
+    /// called when [`Register::may_step`] returns true.
     pub fn advance(&mut self) {
         if let Some(armed) = self.armed
             && armed.plan.step <= self.step
@@ -137,7 +139,7 @@
         self.step += 1;
     }
 
-    /// The member's vote on a plan: none while it is open.
+    /// Returns the member's vote on a plan, or `None` if it has not voted yet.
     pub fn vote(&self, plan: Plan) -> Option<bool> {
         let promised = self.armed.is_some_and(|it| it.plan == plan);
         if promised || self.current == Some(plan) {
@@ -151,50 +153,53 @@
 /// A message between members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
-    /// Promise or refuse this plan.
+    /// Requests a vote on a plan.
     Propose(Plan),
-    /// A member's vote, and the least version it would take.
+    /// A member's vote on a plan.
     Vote {
-        /// The plan voted on.
+        /// The plan that the vote is for.
         plan: Plan,
-        /// Promised or refused.
+        /// Whether the member promised the plan.
         yes: bool,
-        /// Version below which the voter refuses everything.
+        /// Highest version for which the voter refuses new plans.
         floor: u64,
     },
-    /// What is your vote? Whoever has none refuses.
+    /// Queries the receiver's vote. A receiver that has not voted yet refuses the plan.
     Ask(Plan),
 }
 
-/// What a member wants done.
+/// An action that a [`Member`] requests from its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send to a member.
+    /// Send a message to the member with this number.
     Send(u8, Message),
-    /// Give an order to the own engine; its answer is the register.
+    /// Send an order to the member's own engine, which answers with its register.
     Order(Order),
 }
 
-/// A member's agent. Everything in here may be lost.
+/// Protocol state of a member's agent. It is not persisted: after a restart the agent
+/// continues from its engine's register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     me: u8,
     size: u8,
     register: Register,
-    /// Votes heard, by plan; a bit a member.
+    /// Members that promised each plan, as a bit mask.
     yes: BTreeMap<Plan, u32>,
+    /// Members that refused each plan, as a bit mask.
     no: BTreeMap<Plan, u32>,
-    /// Plans whose vote somebody waits for.
-    open: Vec<Plan>,
-    /// The highest floor heard of.
+    /// Plans that were proposed or queried and on which this member has not voted yet.
+    undecided: Vec<Plan>,
+    /// Highest floor that any member reported.
     floor: u64,
 }
 
-/// Most members of a group.
+/// Maximum number of members in a group.
 pub const MAX_MEMBERS: usize = 32;
 
 impl Member {
-    /// Opens member `me` of `size`, with its engine's register as read.
+    /// Creates the agent of member `me` in a group of `size` members from the current
+    /// register of its engine.
     pub fn open(me: u8, size: u8, register: Register) -> Self {
         Self {
             me,
@@ -202,17 +207,18 @@
             register,
             yes: BTreeMap::new(),
             no: BTreeMap::new(),
-            open: Vec::new(),
+            undecided: Vec::new(),
             floor: 0,
         }
     }
 
-    /// The engine's register as last read.
+    /// Returns the engine's register as last read.
     pub fn register(&self) -> &Register {
         &self.register
     }
 
-    /// The least version that a plan of this member should have.
+    /// Lowest version that this member should propose: above its engine's versions and
+    /// above the floors that other members reported.
     pub fn next_version(&self) -> u64 {
         self.register.next_version().max(self.floor + 1)
     }
@@ -222,24 +228,24 @@
         (0..self.size).filter(move |it| *it != me)
     }
 
-    fn tell_all(&self, message: Message) -> Vec<Output> {
+    fn broadcast(&self, message: Message) -> Vec<Output> {
         self.others().map(|it| Output::Send(it, message)).collect()
     }
 
-    /// Proposes a plan to all, this member included.
+    /// Proposes a plan to all members, including this one.
     pub fn propose(&mut self, plan: Plan) -> Vec<Output> {
-        let mut outputs = self.tell_all(Message::Propose(plan));
+        let mut outputs = self.broadcast(Message::Propose(plan));
         outputs.extend(self.on_propose(plan));
         outputs
     }
 
-    /// Takes a message of another member.
+    /// Handles a message from another member.
     pub fn on_message(&mut self, from: u8, message: Message) -> Vec<Output> {
         match message {
             Message::Propose(plan) => self.on_propose(plan),
             Message::Vote { plan, yes, floor } => {
                 self.floor = self.floor.max(floor);
-                self.count(plan, from, yes);
+                self.record_vote(plan, from, yes);
                 self.resolve()
             }
             Message::Ask(plan) => self.on_ask(from, plan),
@@ -248,9 +254,9 @@
 
     fn on_propose(&mut self, plan: Plan) -> Vec<Output> {
         if let Some(yes) = self.register.vote(plan) {
-            return self.tell_all(self.vote(plan, yes));
+            return self.broadcast(self.vote_message(plan, yes));
         }
-        self.await_vote(plan);
+        self.add_undecided(plan);
         let busy = self.register.armed.is_some();
         let late = plan.step <= self.register.step;
         let order = if busy || late { Order::Bar(plan.version) } else { Order::Arm(plan) };
@@ -259,58 +265,59 @@
 
     fn on_ask(&mut self, from: u8, plan: Plan) -> Vec<Output> {
         if let Some(yes) = self.register.vote(plan) {
-            return vec![Output::Send(from, self.vote(plan, yes))];
+            return vec![Output::Send(from, self.vote_message(plan, yes))];
         }
-        if self.open.contains(&plan) {
-            // An order is under way; its outcome is told to all.
+        if self.undecided.contains(&plan) {
+            // An order is in flight; the resulting vote will be broadcast.
             return Vec::new();
         }
-        self.await_vote(plan);
+        self.add_undecided(plan);
         vec![Output::Order(Order::Bar(plan.version))]
     }
 
-    fn vote(&self, plan: Plan, yes: bool) -> Message {
+    fn vote_message(&self, plan: Plan, yes: bool) -> Message {
         Message::Vote { plan, yes, floor: self.register.next_version() - 1 }
     }
 
-    fn await_vote(&mut self, plan: Plan) {
-        if !self.open.contains(&plan) {
-            self.open.push(plan);
+    fn add_undecided(&mut self, plan: Plan) {
+        if !self.undecided.contains(&plan) {
+            self.undecided.push(plan);
         }
     }
 
-    /// Takes the engine's register as read at any time.
+    /// Handles a reading of the engine's register, at any time. Broadcasts the votes
+    /// that it decides, and sends the outcome to the engine once known.
     pub fn on_register(&mut self, register: Register) -> Vec<Output> {
         self.register = register;
         let mut outputs = Vec::new();
-        let (decided, open): (Vec<Plan>, Vec<Plan>) =
-            self.open.iter().partition(|plan| register.vote(**plan).is_some());
-        self.open = open;
+        let (decided, undecided): (Vec<Plan>, Vec<Plan>) =
+            self.undecided.iter().partition(|plan| register.vote(**plan).is_some());
+        self.undecided = undecided;
         for plan in decided {
             let yes = register.vote(plan) == Some(true);
-            outputs.extend(self.tell_all(self.vote(plan, yes)));
+            outputs.extend(self.broadcast(self.vote_message(plan, yes)));
         }
         outputs.extend(self.resolve());
-        self.forget();
+        self.prune_votes();
         outputs
     }
 
-    /// Takes the engine's register as it is when no order is under way any
-    /// more. What is still open was refused, as when its step had passed, and
-    /// is barred.
+    /// Handles the engine's register after all orders in flight have completed. The
+    /// engine refused the arm order of any plan that is still undecided, for example
+    /// because its step had passed; these plans are barred.
     pub fn on_done(&mut self, register: Register) -> Vec<Output> {
         let mut outputs = self.on_register(register);
         let bar = |it: &Plan| Output::Order(Order::Bar(it.version));
-        outputs.extend(self.open.iter().map(bar));
+        outputs.extend(self.undecided.iter().map(bar));
         outputs
     }
 
-    fn count(&mut self, plan: Plan, from: u8, yes: bool) {
+    fn record_vote(&mut self, plan: Plan, from: u8, yes: bool) {
         let votes = if yes { &mut self.yes } else { &mut self.no };
         *votes.entry(plan).or_default() |= 1 << from;
     }
 
-    /// Tells the engine the outcome of its armed plan, once it is known.
+    /// Orders the engine to commit or abort its armed plan, once the outcome is known.
     fn resolve(&mut self) -> Vec<Output> {
         let Some(Armed { plan, outcome: None }) = self.register.armed else {
             return Vec::new();
@@ -326,7 +333,7 @@
         Vec::new()
     }
 
-    /// Asks those whose vote on the armed plan is not known.
+    /// Queries the members whose vote on the armed plan is unknown. Called periodically.
     pub fn tick(&mut self) -> Vec<Output> {
         let mut outputs = self.resolve();
         if let Some(Armed { plan, outcome: None }) = self.register.armed {
@@ -337,8 +344,8 @@
         outputs
     }
 
-    /// Forgets votes on plans that are settled here.
-    fn forget(&mut self) {
+    /// Removes the votes on plans up to the version in force, except the armed plan's.
+    fn prune_votes(&mut self) {
         let version = self.register.version();
         let armed = self.register.armed.map(|it| it.plan);
         let keep = |plan: &Plan| Some(*plan) == armed || plan.version > version;
