--- a/crates/sablepass-core/src/expert/barrier.rs
+++ b/crates/sablepass-core/src/expert/barrier.rs
@@ -30,7 +30,7 @@
 use crate::expert::members::{self, MAX_MEMBERS, Members};
 use crate::expert::tree::Tree;
 
-mod ways;
+mod dissemination;
 
 /// Plans whose vote is remembered, for members that ask late.
 const SETTLED: usize = 16;
