--- a/crates/sablepass-core/src/expert/barrier.rs
+++ b/crates/sablepass-core/src/expert/barrier.rs
@@ -1,27 +1,27 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The switch of a group whose engines keep no vote: they can prepare a map,
-//! arm it for a step, hold a step and let it go, and they check fences.
+//! Atomic switch of a group to a new map, for engines that store no vote. Such
+//! engines can prepare a map, arm it for a step, hold a step and release it, and they
+//! check fences. The agents of the group's members run this protocol.
 //!
-//! A plan names a prepared version and a step. Each member holds its rank at
-//! the step, arms the version for it, and tells what its engine's own account
-//! then shows: yes, it is armed. A member that cannot do so first has
-//! its engine take a disarm order with a higher fence, after which nothing
-//! sent before can arm it, and then tells no. A vote never changes. The step
-//! cannot begin while any rank holds it, and a member lets it go only when
-//! all are armed, or when one said no and its own rank is disarmed. So at the
-//! step all ranks have the new map or none.
+//! A plan names a prepared version and a step. Each member has its engine hold the
+//! step and arm the version for it, and votes yes once the engine's state shows that
+//! it is armed. A member that cannot do so first has its engine accept a disarm order
+//! with a higher fence, after which no earlier order can arm it, and then votes no. A
+//! vote never changes. The step cannot begin while any rank holds it, and a member
+//! releases it only when all ranks are armed, or when a member voted no and its own
+//! rank is disarmed. At that step either all ranks switch to the new map or none.
 //!
-//! Votes are gathered up a [`Tree`] and their outcome is spread down it. That is
-//! a matter of speed only: a set of votes may be passed on by anybody, and who
-//! waits for longer than a tick asks members whose votes it lacks.
+//! Votes are aggregated up a [`Tree`], and their outcome is sent down it. Only latency
+//! depends on the tree: any member may forward a set of votes, and a member that waits
+//! for longer than a tick queries members whose votes it lacks.
 //!
-//! Orders may be carried out late. Each carries the group's epoch and a fence
-//! above all earlier ones of its rank, so what is late meets a newer order or
-//! another epoch and is refused. Whatever a lost agent left behind stands in
-//! its engine's account; its successor bars late orders, reads that, and goes
-//! on: armed is a yes that was given, anything else becomes a no.
+//! Orders may be carried out late. Each order carries the group's epoch and a fence
+//! above those of all earlier orders of its rank, so a late order meets a higher fence
+//! or another epoch and is refused. The engine's state shows what a lost agent left
+//! behind. Its successor bars late orders, reads that state and continues from it: an
+//! armed plan counts as a yes that may have been sent, anything else becomes a no.
 
 use std::collections::BTreeMap;
 
@@ -32,183 +32,198 @@
 
 mod dissemination;
 
-/// Plans whose vote is remembered, for members that ask late.
-const SETTLED: usize = 16;
-/// How much a fence jumps when an engine knows a higher one.
+/// Maximum number of completed plans whose vote is kept, for members that query late.
+const MAX_SETTLED_PLANS: usize = 16;
+/// Increment of the fence after the engine reported a higher one.
 const FENCE_JUMP: u64 = 1 << 20;
 
-/// Why a group is not kept, or a message is not taken. Nothing has changed.
+/// Rejection of a group or of a message. No state has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The group has more members than a set of votes takes.
-    #[snafu(display("a group of {size}; {MAX_MEMBERS} at most"))]
+    /// The group has more members than a set of votes can hold.
+    #[snafu(display("group has {size} members; the maximum is {MAX_MEMBERS}"))]
     TooMany {
-        /// Members of the group.
+        /// Number of members in the group.
         size: u16,
     },
-    /// A member that the group does not have.
+    /// The group has no such member.
     #[snafu(transparent)]
     Members {
-        /// Which one.
+        /// The underlying error.
         source: members::Error,
     },
 }
 
-/// A plan of a switch.
+/// A planned switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Plan {
-    /// Version of the new map, which the ranks have prepared.
+    /// Version of the new map. The ranks have prepared it.
     pub version: u64,
-    /// The first step on it. Above that of every earlier plan of the epoch.
+    /// First step that runs on the new map. Higher than the step of every earlier plan
+    /// of the epoch.
     pub step: u64,
 }
 
-/// An engine's account of itself, read when no order is under way.
+/// Reading of an engine's state, taken while no order is in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Reading {
-    /// Grows each time the group forms anew.
+    /// Epoch of the group; increases whenever the group forms again.
     pub epoch: u64,
-    /// The last step begun.
+    /// Last step that has begun.
     pub step: u64,
     /// Version of the map in force.
     pub version: u64,
-    /// Version that is prepared.
+    /// Version of the prepared map.
     pub prepared: Option<u64>,
-    /// The plan that it is armed for.
+    /// Plan that the engine is armed for.
     pub armed: Option<Plan>,
-    /// The step that it holds.
+    /// Step that the engine holds.
     pub held: Option<u64>,
 }
 
-/// An order to the own engine.
+/// An order to the member's own engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Order {
-    /// Change nothing, but refuse what was sent before.
+    /// Change nothing, but refuse orders that were sent earlier.
     Bar,
-    /// Do not begin this step.
+    /// Do not begin this step until it is released.
     Hold(u64),
-    /// Take the prepared version as this step begins.
+    /// Switch to the plan's prepared version when its step begins.
     Arm(Plan),
-    /// Do not take this version.
+    /// Do not switch to this version.
     Disarm(u64),
-    /// Begin the held step.
+    /// Release the held step.
     Go(u64),
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Done {
-    /// The engine took it.
+    /// The engine accepted the order.
     Taken,
-    /// It did not fit the engine's state.
+    /// The order does not fit the engine's state.
     Refused,
-    /// The engine knows a higher fence.
+    /// The engine has seen a higher fence.
     Fenced,
-    /// Nobody knows; it may be carried out later.
+    /// No answer was received; the order may still be carried out.
     Unknown,
 }
 
 /// A message between members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
-    /// Switch by this plan.
+    /// Start the switch by this plan.
     Switch(Plan),
-    /// The votes that the sender knows, its own among them. Anybody may pass
-    /// them on, so two members need no connection to learn of each other.
+    /// Votes known to the sender, including its own. Any member may forward them, so
+    /// two members can exchange votes without a direct connection.
     Votes {
-        /// The plan.
+        /// The plan that the votes are for.
         plan: Plan,
         /// Members that are armed.
         yes: Members,
-        /// One member is never to be.
+        /// Whether a member voted no and will never be armed for the plan.
         no: bool,
     },
-    /// Which votes do you know? Whoever has none says no.
+    /// Queries the votes known to the receiver. A receiver that does not know the plan
+    /// votes no.
     Ask(Plan),
 }
 
-/// What a member wants done.
+/// An action that a [`Member`] requests from its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send to a member, in this epoch.
+    /// Send a message to the member with this number, in this epoch.
     Send(u16, u64, Message),
-    /// Give the own engine an order. The account is to be read after it.
+    /// Send an order to the member's own engine, and read the engine's state afterwards.
     Order {
-        /// The order.
+        /// The order to send.
         order: Order,
-        /// The epoch that it is for.
+        /// Epoch that the order is valid for.
         epoch: u64,
-        /// Its fence.
+        /// Fence of the order.
         fence: u64,
     },
 }
 
-/// Votes heard on a plan.
+/// Known votes on a plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Votes {
     yes: Members,
     no: bool,
-    /// Those of all members below were passed on up the tree.
-    gathered: bool,
-    /// The outcome was passed on.
-    spread: bool,
+    /// The votes of the member's whole subtree were sent to its parent.
+    sent_up: bool,
+    /// The outcome was forwarded.
+    outcome_sent: bool,
 }
 
 /// The plan in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Current {
+struct ActivePlan {
     plan: Plan,
+    /// The member's own vote.
     vote: Option<bool>,
-    /// No is all that is left to say.
+    /// The member can only vote no.
     refusing: bool,
-    /// After a yes: the rank is disarmed, since another one said no.
-    undone: bool,
-    /// A tick went by since the vote.
-    waited: bool,
-    /// The member that was asked last for votes.
-    asked: u16,
+    /// The member voted yes, but disarmed its rank because another member voted no.
+    rolled_back: bool,
+    /// A tick has passed since the vote.
+    ticked_since_vote: bool,
+    /// The member that was queried last for votes.
+    last_queried: u16,
 }
 
-impl Current {
+impl ActivePlan {
     fn open(plan: Plan, me: u16) -> Self {
-        Self { plan, vote: None, refusing: false, undone: false, waited: false, asked: me }
+        Self {
+            plan,
+            vote: None,
+            refusing: false,
+            rolled_back: false,
+            ticked_since_vote: false,
+            last_queried: me,
+        }
     }
 }
 
-/// A member's agent. Everything in here may be lost.
+/// Protocol state of a member's agent. It is not persisted: after a restart the agent
+/// continues from its engine's state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     me: u16,
     size: u16,
     tree: Tree,
-    /// This member and those below it.
-    below: Members,
+    /// This member and its descendants in the tree.
+    subtree: Members,
+    /// Fence of the latest order.
     fence: u64,
-    /// The version that this agent itself had prepared last.
-    wanted: u64,
-    /// The engine refuses what a predecessor sent.
+    /// The version that this agent itself last had its engine prepare.
+    prepared_version: u64,
+    /// The engine refuses orders that a predecessor of this agent sent.
     barred: bool,
+    /// The engine's state as last read.
     reading: Option<Reading>,
-    /// The reading was made after the last order.
+    /// The reading was taken after the last order.
     fresh: bool,
+    /// The order in flight.
     pending: Option<Order>,
-    /// An order failed that has to be given again: at the next tick.
-    resting: bool,
-    current: Option<Current>,
+    /// An order failed and is repeated at the next tick.
+    backed_off: bool,
+    current: Option<ActivePlan>,
     votes: BTreeMap<Plan, Votes>,
-    /// Own votes on plans that are over.
+    /// Own votes on completed plans.
     settled: BTreeMap<Plan, bool>,
-    /// A plan that somebody waits for and that is not the current one: it is
-    /// barred and refused, whatever becomes of the current one.
-    asked: Option<Plan>,
-    /// The plan that the order under way bars.
+    /// A plan to bar and refuse independently of the current plan: one that another
+    /// member queried, or one whose version this agent did not prepare.
+    plan_to_bar: Option<Plan>,
+    /// The plan that the order in flight bars.
     barring: Option<Plan>,
-    /// Plans that were barred and whose refusal is to be told.
-    refused: Vec<Plan>,
+    /// Barred plans whose refusal has not been sent yet.
+    unsent_refusals: Vec<Plan>,
 }
 
 impl Member {
-    /// Opens member `me` of `size`, whose orders carry fences above `fence`.
+    /// Creates the agent of member `me` in a group of `size` members. Its orders carry
+    /// fences above `fence`.
     pub fn open(me: u16, size: u16, fence: u64) -> Result<Self, Error> {
         ensure!(size <= MAX_MEMBERS, TooManySnafu { size });
         members::check(me, size)?;
@@ -217,34 +232,34 @@
             me,
             size,
             tree,
-            below: tree.subtree(me),
+            subtree: tree.subtree(me),
             fence,
-            wanted: 0,
+            prepared_version: 0,
             barred: false,
             reading: None,
             fresh: false,
             pending: None,
-            resting: false,
+            backed_off: false,
             current: None,
             votes: BTreeMap::new(),
             settled: BTreeMap::new(),
-            asked: None,
+            plan_to_bar: None,
             barring: None,
-            refused: Vec::new(),
+            unsent_refusals: Vec::new(),
         })
     }
 
-    /// The engine's account as last read.
+    /// Returns the engine's state as last read.
     pub fn reading(&self) -> Option<&Reading> {
         self.reading.as_ref()
     }
 
-    /// The plan in progress.
+    /// Returns the plan in progress.
     pub fn plan(&self) -> Option<Plan> {
         self.current.map(|it| it.plan)
     }
 
-    /// Whether a new plan can be begun.
+    /// Whether a new plan can be started.
     pub fn is_free(&self) -> bool {
         let idle = |it: &Reading| it.armed.is_none() && it.held.is_none();
         self.barred
@@ -253,11 +268,11 @@
             && self.reading.as_ref().is_some_and(idle)
     }
 
-    /// Records that this agent has a version prepared, and gives the fence of
-    /// that order. A plan for any other version is refused: its proposal was
-    /// meant for a predecessor, whose votes are not known here.
+    /// Records that this agent orders its engine to prepare `version`, and returns the
+    /// fence of that order. Plans for other versions are refused: they were proposed to
+    /// a predecessor of this agent, whose votes are unknown here.
     pub fn prepare(&mut self, version: u64) -> u64 {
-        self.wanted = version;
+        self.prepared_version = version;
         self.next_fence()
     }
 
@@ -266,12 +281,12 @@
         self.fence
     }
 
-    /// Records that the engine knows a higher fence than that of an order.
+    /// Raises the fence after the engine reported one above that of an order.
     pub fn raise_fence(&mut self) {
         self.fence += FENCE_JUMP;
     }
 
-    /// Takes a message of a member.
+    /// Handles a message from a member. Messages of another epoch are ignored.
     pub fn on_message(
         &mut self,
         from: u16,
@@ -282,18 +297,18 @@
         if let Message::Votes { yes, .. } = &message {
             yes.check(self.size)?;
         }
-        Ok(self.take(from, epoch, message))
+        Ok(self.handle_message(from, epoch, message))
     }
 
-    fn take(&mut self, from: u16, epoch: u64, message: Message) -> Vec<Output> {
+    fn handle_message(&mut self, from: u16, epoch: u64, message: Message) -> Vec<Output> {
         if self.reading.is_none() || epoch != self.epoch() {
-            // Of another epoch, or too early to know. Who waits asks again.
+            // Another epoch, or the epoch is not known yet. A waiting member queries again.
             return Vec::new();
         }
         match message {
             Message::Switch(plan) => {
-                let mut outputs = self.pass_plan(plan);
-                self.begin(plan);
+                let mut outputs = self.forward_plan(plan);
+                self.start_plan(plan);
                 outputs.extend(self.advance());
                 outputs
             }
@@ -302,7 +317,7 @@
                 votes.yes = votes.yes.union(&yes);
                 votes.no |= no;
                 let decides = no || yes.len() == u32::from(self.size);
-                let mut outputs = self.pass_votes(plan, decides.then_some(from));
+                let mut outputs = self.forward_votes(plan, decides.then_some(from));
                 outputs.extend(self.advance());
                 outputs
             }
@@ -310,34 +325,35 @@
         }
     }
 
-    fn knows(&self, plan: Plan) -> bool {
+    fn is_known(&self, plan: Plan) -> bool {
         self.settled.contains_key(&plan) || self.plan() == Some(plan)
     }
 
-    fn begin(&mut self, plan: Plan) {
-        let barred = self.asked == Some(plan) || self.barring == Some(plan);
-        if self.knows(plan) || barred || self.current.is_some() || !self.barred {
+    fn start_plan(&mut self, plan: Plan) {
+        let barred = self.plan_to_bar == Some(plan) || self.barring == Some(plan);
+        if self.is_known(plan) || barred || self.current.is_some() || !self.barred {
             return;
         }
-        if plan.version != self.wanted {
-            self.asked = Some(plan);
+        if plan.version != self.prepared_version {
+            self.plan_to_bar = Some(plan);
             return;
         }
-        let passed = self.settled.keys().any(|it| it.step >= plan.step);
-        self.current = Some(Current { refusing: passed, ..Current::open(plan, self.me) });
+        let superseded = self.settled.keys().any(|it| it.step >= plan.step);
+        self.current = Some(ActivePlan { refusing: superseded, ..ActivePlan::open(plan, self.me) });
     }
 
-    /// Takes the engine's account.
+    /// Handles a reading of the engine's state. It is ignored while an order is in
+    /// flight.
     pub fn on_reading(&mut self, reading: Reading) -> Vec<Output> {
         if self.pending.is_some() {
             return Vec::new();
         }
-        let known = self.reading.map(|it| it.epoch);
-        if known.is_some_and(|it| it != reading.epoch) {
-            // The group formed anew: nothing of the old one counts.
+        let known_epoch = self.reading.map(|it| it.epoch);
+        if known_epoch.is_some_and(|it| it != reading.epoch) {
+            // The group has formed again, which voids all plans and votes.
             self.current = None;
-            self.asked = None;
-            self.refused.clear();
+            self.plan_to_bar = None;
+            self.unsent_refusals.clear();
             self.votes.clear();
             self.settled.clear();
         }
@@ -346,12 +362,13 @@
         self.advance()
     }
 
-    /// Takes the end of an order. The account is read next.
+    /// Handles the result of the order in flight. The caller then reads the engine's
+    /// state and passes it to [`Member::on_reading`].
     pub fn on_done(&mut self, done: Done) {
         let Some(order) = self.pending.take() else { return };
         self.fresh = false;
         if let Some(plan) = self.barring.take() {
-            self.barred_plan(plan, done);
+            self.on_plan_barred(plan, done);
             return;
         }
         if done == Done::Fenced {
@@ -359,57 +376,57 @@
         }
         match (order, done) {
             (Order::Bar, Done::Taken) => self.barred = true,
-            // What went unanswered is given again, if the account does not
-            // show it. The later one bars the earlier.
+            // An unanswered order is repeated unless the engine's state shows its
+            // effect. The higher fence of the repeated order bars the earlier one.
             (Order::Hold(_) | Order::Arm(_), Done::Taken | Done::Unknown) => {}
-            (Order::Hold(_) | Order::Arm(_), Done::Refused) => self.refuse(),
-            (Order::Disarm(_), Done::Taken) => self.disarmed(),
-            // The account says whether it has to be given again. Time enough went
-            // by until it counted as unanswered.
+            (Order::Hold(_) | Order::Arm(_), Done::Refused) => self.mark_refusing(),
+            (Order::Disarm(_), Done::Taken) => self.on_disarmed(),
+            // The engine's state shows whether the order has to be repeated. It is repeated
+            // without a back-off, since the timeout that made it unanswered has passed.
             (Order::Go(_), Done::Taken | Done::Unknown) | (_, Done::Fenced) => {}
             (Order::Bar | Order::Disarm(_), Done::Unknown) => {}
-            (Order::Bar | Order::Disarm(_) | Order::Go(_), _) => self.resting = true,
+            (Order::Bar | Order::Disarm(_) | Order::Go(_), _) => self.backed_off = true,
         }
     }
 
-    fn barred_plan(&mut self, plan: Plan, done: Done) {
+    fn on_plan_barred(&mut self, plan: Plan, done: Done) {
         match done {
             Done::Taken => {
-                self.asked = self.asked.filter(|it| *it != plan);
-                self.remember(plan, false);
-                self.refused.push(plan);
+                self.plan_to_bar = self.plan_to_bar.filter(|it| *it != plan);
+                self.record_settled(plan, false);
+                self.unsent_refusals.push(plan);
             }
             Done::Fenced => self.raise_fence(),
             Done::Unknown => {}
-            Done::Refused => self.resting = true,
+            Done::Refused => self.backed_off = true,
         }
     }
 
-    fn refuse(&mut self) {
-        if let Some(it) = &mut self.current {
-            it.refusing = true;
+    fn mark_refusing(&mut self) {
+        if let Some(current) = &mut self.current {
+            current.refusing = true;
         }
     }
 
-    /// Nothing sent before can arm the rank any more.
-    fn disarmed(&mut self) {
-        let Some(it) = &mut self.current else { return };
-        match it.vote {
+    /// Votes no, or rolls back after a yes: no earlier order can arm the rank any more.
+    fn on_disarmed(&mut self) {
+        let Some(current) = &mut self.current else { return };
+        match current.vote {
             None => {
-                it.vote = Some(false);
-                let plan = it.plan;
+                current.vote = Some(false);
+                let plan = current.plan;
                 self.votes.entry(plan).or_default().no = true;
             }
-            Some(true) => it.undone = true,
+            Some(true) => current.rolled_back = true,
             Some(false) => {}
         }
     }
 
-    /// Asks for votes that are still not known, and tries again what failed.
+    /// Repeats failed orders and queries missing votes. Called periodically.
     pub fn tick(&mut self) -> Vec<Output> {
-        self.resting = false;
+        self.backed_off = false;
         let mut outputs = self.advance();
-        outputs.extend(self.ask());
+        outputs.extend(self.query_missing_votes());
         outputs
     }
 
@@ -417,125 +434,125 @@
         self.reading.map_or(0, |it| it.epoch)
     }
 
-    /// Does what is next, as far as the account allows.
+    /// Returns the next messages and the next order that the engine's state permits.
     fn advance(&mut self) -> Vec<Output> {
         let Some(reading) = self.reading.filter(|_| self.fresh) else { return Vec::new() };
-        if self.pending.is_some() || self.resting {
+        if self.pending.is_some() || self.backed_off {
             return Vec::new();
         }
         if !self.barred {
-            return vec![self.order(Order::Bar)];
+            return vec![self.issue(Order::Bar)];
         }
         if self.current.is_none() {
-            self.adopt(&reading);
+            self.adopt_armed_plan(&reading);
         }
-        let mut outputs = self.announce();
+        let mut outputs = self.forward_own_votes();
         let order = match self.current {
             None => reading.held.map(Order::Go),
-            Some(it) => self.next_order(&reading, it),
+            Some(current) => self.next_order(&reading, current),
         };
-        outputs.extend(self.announce());
+        outputs.extend(self.forward_own_votes());
         let order = order.or_else(|| self.next_bar(&reading));
-        outputs.extend(order.map(|it| self.order(it)));
+        outputs.extend(order.map(|it| self.issue(it)));
         outputs
     }
 
-    /// The order that bars a plan which somebody waits for. The rank is not
-    /// armed for it, and what it is armed for stays as it is.
+    /// Returns the order that bars `plan_to_bar`. The rank is not armed for that plan,
+    /// and the order leaves a different armed plan in place.
     fn next_bar(&mut self, reading: &Reading) -> Option<Order> {
-        let plan = self.asked?;
-        let known = self.knows(plan);
-        let other = self.plan().is_some_and(|it| it.version == plan.version);
-        if known || other || reading.version == plan.version {
-            self.asked = None;
+        let plan = self.plan_to_bar?;
+        let known = self.is_known(plan);
+        let same_version = self.plan().is_some_and(|it| it.version == plan.version);
+        if known || same_version || reading.version == plan.version {
+            self.plan_to_bar = None;
             return None;
         }
         self.barring = Some(plan);
         Some(Order::Disarm(plan.version))
     }
 
-    fn order(&mut self, order: Order) -> Output {
+    fn issue(&mut self, order: Order) -> Output {
         self.pending = Some(order);
         Output::Order { order, epoch: self.epoch(), fence: self.next_fence() }
     }
 
-    /// Takes up what the account shows of a plan that is not known: armed is
-    /// a yes, which may have been given.
-    fn adopt(&mut self, reading: &Reading) {
-        self.current = reading.armed.map(|plan| Current::open(plan, self.me));
+    /// Continues the plan that the engine is armed for, if any. A predecessor of this
+    /// agent may already have sent a yes for it.
+    fn adopt_armed_plan(&mut self, reading: &Reading) {
+        self.current = reading.armed.map(|plan| ActivePlan::open(plan, self.me));
     }
 
-    fn next_order(&mut self, reading: &Reading, it: Current) -> Option<Order> {
-        match it.vote {
-            None => self.next_before_vote(reading, it),
-            Some(true) => self.next_after_yes(reading, it),
-            Some(false) => self.next_after_no(reading, it),
+    fn next_order(&mut self, reading: &Reading, current: ActivePlan) -> Option<Order> {
+        match current.vote {
+            None => self.next_before_vote(reading, current),
+            Some(true) => self.next_after_yes(reading, current),
+            Some(false) => self.next_after_no(reading, current),
         }
     }
 
-    fn next_before_vote(&mut self, reading: &Reading, it: Current) -> Option<Order> {
-        let Plan { version, step } = it.plan;
-        let armed = reading.armed == Some(it.plan);
+    fn next_before_vote(&mut self, reading: &Reading, current: ActivePlan) -> Option<Order> {
+        let Plan { version, step } = current.plan;
+        let armed = reading.armed == Some(current.plan);
         if armed || reading.version == version {
-            self.vote_yes(it.plan);
-            return self.next_after_yes(reading, Current { vote: Some(true), ..it });
+            self.vote_yes(current.plan);
+            return self.next_after_yes(reading, ActivePlan { vote: Some(true), ..current });
         }
         let late = reading.step >= step || reading.prepared != Some(version);
         let busy = reading.armed.is_some() || reading.held.is_some_and(|it| it != step);
-        if it.refusing || late || busy {
+        if current.refusing || late || busy {
             return Some(Order::Disarm(version));
         }
         if reading.held.is_none() {
             return Some(Order::Hold(step));
         }
-        Some(Order::Arm(it.plan))
+        Some(Order::Arm(current.plan))
     }
 
     fn vote_yes(&mut self, plan: Plan) {
-        if let Some(it) = &mut self.current {
-            it.vote = Some(true);
+        if let Some(current) = &mut self.current {
+            current.vote = Some(true);
         }
         self.votes.entry(plan).or_default().yes.insert(self.me);
     }
 
-    fn next_after_yes(&mut self, reading: &Reading, it: Current) -> Option<Order> {
-        let Plan { version, step } = it.plan;
+    fn next_after_yes(&mut self, reading: &Reading, current: ActivePlan) -> Option<Order> {
+        let Plan { version, step } = current.plan;
         if reading.version == version {
-            self.settle(it.plan, true);
+            self.settle(current.plan, true);
             return reading.held.map(Order::Go);
         }
-        let votes = self.votes.get(&it.plan).copied().unwrap_or_default();
+        let votes = self.votes.get(&current.plan).copied().unwrap_or_default();
         if votes.no {
-            if !it.undone {
+            if !current.rolled_back {
                 return Some(Order::Disarm(version));
             }
             if reading.held == Some(step) {
                 return Some(Order::Go(step));
             }
-            self.settle(it.plan, true);
+            self.settle(current.plan, true);
             return None;
         }
         let all = votes.yes.len() == u32::from(self.size);
         (all && reading.held == Some(step)).then_some(Order::Go(step))
     }
 
-    fn next_after_no(&mut self, reading: &Reading, it: Current) -> Option<Order> {
-        if reading.held == Some(it.plan.step) {
-            return Some(Order::Go(it.plan.step));
+    fn next_after_no(&mut self, reading: &Reading, current: ActivePlan) -> Option<Order> {
+        if reading.held == Some(current.plan.step) {
+            return Some(Order::Go(current.plan.step));
         }
-        self.settle(it.plan, false);
+        self.settle(current.plan, false);
         None
     }
 
-    /// A plan is over for this member.
+    /// Completes the current plan for this member, with its own vote.
     fn settle(&mut self, plan: Plan, vote: bool) {
         self.current = None;
-        self.remember(plan, vote);
+        self.record_settled(plan, vote);
     }
 
-    fn remember(&mut self, plan: Plan, vote: bool) {
+    fn record_settled(&mut self, plan: Plan, vote: bool) {
         self.settled.insert(plan, vote);
-        while self.settled.len() > SETTLED {
+        while self.settled.len() > MAX_SETTLED_PLANS {
             self.settled.pop_first();
         }
         let settled = &self.settled;
--- a/crates/sablepass-core/src/expert/barrier/dissemination.rs
+++ b/crates/sablepass-core/src/expert/barrier/dissemination.rs
@@ -1,110 +1,117 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The way of plans and votes from member to member: down and up the tree, and
-//! to whoever asks.
+//! Dissemination of plans and votes between the members of a group: along the tree,
+//! and in reply to queries.
 
-use crate::expert::barrier::{Current, Member, Message, Output, Plan};
+use crate::expert::barrier::{ActivePlan, Member, Message, Output, Plan};
 use crate::expert::members::Members;
 
-/// Members that are asked at a tick: each that waits learns what so many others
-/// know, so the votes of 192 are with all after three ticks, whoever of those in
-/// between is gone, with 16 messages a member and tick.
-const ASKS: usize = 8;
+/// Maximum number of members that a waiting member queries per tick. Each learns the
+/// votes known to that many others, so all votes of 192 members reach every member
+/// within three ticks even if inner members of the tree are lost. That takes 16
+/// messages per member and tick, with the replies.
+const QUERIES_PER_TICK: usize = 8;
 
 impl Member {
-    /// Begins a plan at all members, this one included.
+    /// Starts a plan at all members, including this one.
     pub fn propose(&mut self, plan: Plan) -> Vec<Output> {
-        let up = self.tree.parent(self.me).is_some().then_some(0);
-        let mut outputs = self.tell(up, Message::Switch(plan));
-        outputs.extend(self.take(self.me, self.epoch(), Message::Switch(plan)));
+        let root = self.tree.parent(self.me).is_some().then_some(0);
+        let mut outputs = self.send_to(root, Message::Switch(plan));
+        outputs.extend(self.handle_message(self.me, self.epoch(), Message::Switch(plan)));
         outputs
     }
 
-    /// Passes a plan on to the members below, the first time.
-    pub(super) fn pass_plan(&self, plan: Plan) -> Vec<Output> {
-        if self.knows(plan) {
+    /// Forwards a plan to the children in the tree, unless it is already known.
+    pub(super) fn forward_plan(&self, plan: Plan) -> Vec<Output> {
+        if self.is_known(plan) {
             return Vec::new();
         }
-        self.tell(self.tree.children(self.me), Message::Switch(plan))
+        self.send_to(self.tree.children(self.me), Message::Switch(plan))
     }
 
-    /// Passes votes on that others wait for: up once all from below are there, and
-    /// both ways once it is clear what comes of the plan, but not to the member
-    /// `knows` that said so.
-    pub(super) fn pass_votes(&mut self, plan: Plan, knows: Option<u16>) -> Vec<Output> {
+    /// Forwards votes to the parent once those of the whole subtree are known, and to
+    /// the parent and the children once the outcome is known, but not to `exclude`, the
+    /// member that sent the deciding votes.
+    pub(super) fn forward_votes(&mut self, plan: Plan, exclude: Option<u16>) -> Vec<Output> {
         let Some(votes) = self.votes.get_mut(&plan) else { return Vec::new() };
         let decided = votes.no || votes.yes.len() == u32::from(self.size);
-        let gathered = votes.yes.contains_all(&self.below);
-        let spreads = decided && !votes.spread;
-        let gathers = gathered && !votes.gathered;
-        if !spreads && !gathers {
+        let subtree_complete = votes.yes.contains_all(&self.subtree);
+        let send_outcome = decided && !votes.outcome_sent;
+        let send_up = subtree_complete && !votes.sent_up;
+        if !send_outcome && !send_up {
             return Vec::new();
         }
-        votes.gathered = true;
-        votes.spread |= spreads;
+        votes.sent_up = true;
+        votes.outcome_sent |= send_outcome;
         let message = Message::Votes { plan, yes: votes.yes, no: votes.no };
-        let below = self.tree.children(self.me).filter(|_| spreads);
-        let to = self.tree.parent(self.me).into_iter().chain(below);
-        self.tell(to.filter(|it| Some(*it) != knows), message)
+        let children = self.tree.children(self.me).filter(|_| send_outcome);
+        let recipients = self.tree.parent(self.me).into_iter().chain(children);
+        self.send_to(recipients.filter(|it| Some(*it) != exclude), message)
     }
 
+    /// Replies to a query with the known votes. A plan that is neither current nor voted
+    /// on is barred and refused first.
     pub(super) fn on_ask(&mut self, from: u16, plan: Plan) -> Vec<Output> {
         let current = self.current.filter(|it| it.plan == plan);
         let in_force = self.reading.is_some_and(|it| it.version == plan.version);
         let vote = match current {
-            Some(it) => it.vote,
+            Some(current) => current.vote,
             None => self.settled.get(&plan).copied().or(in_force.then_some(true)),
         };
         if let Some(yes) = vote {
-            return vec![Output::Send(from, self.epoch(), self.known(plan, yes))];
+            return vec![Output::Send(from, self.epoch(), self.known_votes(plan, yes))];
         }
         if current.is_none() {
-            self.asked = Some(plan);
+            self.plan_to_bar = Some(plan);
         }
         self.advance()
     }
 
-    /// The votes known on a plan, with the own one.
-    pub(super) fn known(&self, plan: Plan, yes: bool) -> Message {
+    /// Returns a message with the known votes on a plan, including this member's own.
+    pub(super) fn known_votes(&self, plan: Plan, yes: bool) -> Message {
         let votes = self.votes.get(&plan).copied().unwrap_or_default();
-        let mine = if yes { Members::one(self.me) } else { Members::default() };
-        Message::Votes { plan, yes: votes.yes.union(&mine), no: votes.no || !yes }
+        let own = if yes { Members::one(self.me) } else { Members::default() };
+        Message::Votes { plan, yes: votes.yes.union(&own), no: votes.no || !yes }
     }
 
-    /// Asks some of the members whose votes are missing since the last tick, others
-    /// each time.
-    pub(super) fn ask(&mut self) -> Vec<Output> {
-        let Some(it) = &mut self.current else { return Vec::new() };
-        let waits = it.vote == Some(true) && !it.undone;
-        let heard = self.votes.get(&it.plan).map_or(Members::default(), |it| it.yes);
-        if !waits || !std::mem::replace(&mut it.waited, true) {
+    /// Queries members whose votes are still missing, from the second tick after the own
+    /// vote on. The members are queried in turn, [`QUERIES_PER_TICK`] at a time.
+    pub(super) fn query_missing_votes(&mut self) -> Vec<Output> {
+        let Some(current) = &mut self.current else { return Vec::new() };
+        let waits = current.vote == Some(true) && !current.rolled_back;
+        let received = self.votes.get(&current.plan).map_or(Members::default(), |it| it.yes);
+        if !waits || !std::mem::replace(&mut current.ticked_since_vote, true) {
             return Vec::new();
         }
-        let next = (it.asked + 1..self.size).chain(0..=it.asked);
-        let missing = next.filter(|it| !heard.contains(*it));
-        let asked: Vec<u16> = missing.take(ASKS).collect();
-        if asked.len() == ASKS {
-            it.asked = asked[ASKS - 1];
+        let order = (current.last_queried + 1..self.size).chain(0..=current.last_queried);
+        let missing = order.filter(|it| !received.contains(*it));
+        let queried: Vec<u16> = missing.take(QUERIES_PER_TICK).collect();
+        if queried.len() == QUERIES_PER_TICK {
+            current.last_queried = queried[QUERIES_PER_TICK - 1];
         }
-        let plan = it.plan;
-        self.tell(asked, Message::Ask(plan))
+        let plan = current.plan;
+        self.send_to(queried, Message::Ask(plan))
     }
 
-    pub(super) fn tell(&self, to: impl IntoIterator<Item = u16>, message: Message) -> Vec<Output> {
+    pub(super) fn send_to(
+        &self,
+        recipients: impl IntoIterator<Item = u16>,
+        message: Message,
+    ) -> Vec<Output> {
         let epoch = self.epoch();
-        to.into_iter().map(|it| Output::Send(it, epoch, message)).collect()
+        recipients.into_iter().map(|it| Output::Send(it, epoch, message)).collect()
     }
 
-    /// Passes on a vote that was not told yet.
-    pub(super) fn announce(&mut self) -> Vec<Output> {
+    /// Forwards this member's own votes and refusals that were not sent yet.
+    pub(super) fn forward_own_votes(&mut self) -> Vec<Output> {
         let mut outputs = Vec::new();
-        for plan in std::mem::take(&mut self.refused) {
+        for plan in std::mem::take(&mut self.unsent_refusals) {
             self.votes.entry(plan).or_default().no = true;
-            outputs.extend(self.pass_votes(plan, None));
+            outputs.extend(self.forward_votes(plan, None));
         }
-        if let Some(Current { plan, vote: Some(_), .. }) = self.current {
-            outputs.extend(self.pass_votes(plan, None));
+        if let Some(ActivePlan { plan, vote: Some(_), .. }) = self.current {
+            outputs.extend(self.forward_votes(plan, None));
         }
         outputs
     }
