--- a/crates/sablepass-core/tests/barrier.rs
+++ b/crates/sablepass-core/tests/barrier.rs
@@ -1,12 +1,13 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The switch by hold, arm and go, explored exhaustively: the code that runs,
-//! not a copy. Messages may be lost, doubled and reordered; orders may be
-//! lost, go unanswered and be carried out late; agents die, restart with a
-//! lower fence and pause (nothing has to happen); the group forms anew; plans
-//! come one after the other and at once. No step may begin on two maps, and
-//! from every state the group goes on once contact is back.
+//! Model check of `expert::barrier`, run on the production code: an exhaustive search
+//! of small settings, and random walks of larger ones. Messages may be lost,
+//! duplicated and reordered; orders may be lost, go unanswered and be carried out
+//! late; agents crash, restart with a lower fence and pause (no action is ever forced);
+//! the group forms again; plans are proposed in sequence and concurrently. No step may
+//! begin on two maps, and the group must recover from every state once messages and
+//! orders get through again.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
@@ -18,17 +19,17 @@
 use sablepass_core::expert::members::{self, MAX_MEMBERS, Members};
 use sablepass_core::expert::tree::Tree;
 
-/// A fault put into the engines or the network, which the search must find.
+/// A fault injected into the engines or the network, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// Engines do not wait at a held step.
+    /// Engines begin held steps.
     DoesNotHold,
-    /// Engines take orders with lower fences.
+    /// Engines accept orders with lower fences.
     IgnoresFences,
-    /// A no arrives as a yes.
+    /// A no vote is delivered as a yes vote.
     ChangesVote,
-    /// A disarm order that changes nothing leaves the fence as it was.
+    /// Disarm and bar orders do not raise the engine's fence.
     DisarmBarsNothing,
 }
 
@@ -36,15 +37,17 @@
 struct Limits {
     members: u16,
     crashes: u8,
+    /// How often the group may form again.
     forms: u64,
-    /// Orders that may go unanswered.
+    /// Maximum number of unanswered orders.
     unanswered: u8,
+    /// Plans in the order of their proposal, each with its proposing member.
     plans: &'static [(u16, Plan)],
     last_step: u64,
     mutation: Mutation,
 }
 
-/// A rank's engine, as the platform's answers orders.
+/// A rank's engine, which answers orders as the platform's engine does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Engine {
     reading: Reading,
@@ -59,16 +62,16 @@
         if fence < self.fence && mutation != Mutation::IgnoresFences {
             return Done::Fenced;
         }
-        let it = &mut self.reading;
+        let state = &mut self.reading;
         let fits = match order {
             Order::Bar => true,
-            Order::Hold(step) => it.step < step && it.held.is_none_or(|held| held == step),
+            Order::Hold(step) => state.step < step && state.held.is_none_or(|held| held == step),
             Order::Arm(plan) => {
-                let prepared = it.prepared == Some(plan.version);
-                let same = it.armed.is_none_or(|it| it.version == plan.version);
-                prepared && same && it.step < plan.step
+                let prepared = state.prepared == Some(plan.version);
+                let same = state.armed.is_none_or(|it| it.version == plan.version);
+                prepared && same && state.step < plan.step
             }
-            Order::Disarm(version) => it.version != version,
+            Order::Disarm(version) => state.version != version,
             Order::Go(_) => true,
         };
         if !fits {
@@ -76,22 +79,22 @@
         }
         match order {
             Order::Bar => {}
-            Order::Hold(step) => it.held = Some(step),
-            Order::Arm(plan) => it.armed = Some(plan),
-            Order::Disarm(version) => it.armed = it.armed.filter(|it| it.version != version),
-            Order::Go(step) => it.held = it.held.filter(|it| *it != step),
+            Order::Hold(step) => state.held = Some(step),
+            Order::Arm(plan) => state.armed = Some(plan),
+            Order::Disarm(version) => state.armed = state.armed.filter(|it| it.version != version),
+            Order::Go(step) => state.held = state.held.filter(|it| *it != step),
         }
-        let keeps = matches!(order, Order::Disarm(_) | Order::Bar);
-        if !(keeps && mutation == Mutation::DisarmBarsNothing) {
+        let bars = matches!(order, Order::Disarm(_) | Order::Bar);
+        if !(bars && mutation == Mutation::DisarmBarsNothing) {
             self.fence = self.fence.max(fence);
         }
         Done::Taken
     }
 }
 
-/// An order on its way.
+/// An order in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Sent {
+struct OrderInFlight {
     rank: u16,
     incarnation: u8,
     epoch: u64,
@@ -104,13 +107,15 @@
     engines: Vec<Engine>,
     agents: Vec<Member>,
     incarnations: Vec<u8>,
-    /// Everything sent; it may arrive again at any time.
+    /// All messages sent so far; each may be delivered again at any time.
     mail: BTreeSet<(u16, u16, u64, Message)>,
-    /// Orders that were not carried out yet; at most once each.
-    orders: BTreeSet<Sent>,
-    /// The order that each agent waits for.
-    waits: Vec<Option<Sent>>,
+    /// Orders that were not carried out yet. Each is carried out at most once.
+    orders: BTreeSet<OrderInFlight>,
+    /// The order whose answer each agent waits for.
+    waits: Vec<Option<OrderInFlight>>,
+    /// Number of plans proposed so far.
     proposed: usize,
+    /// Number of unanswered orders so far.
     unanswered: u8,
     step: u64,
 }
@@ -119,15 +124,16 @@
 enum Action {
     Propose,
     Deliver(u16, u16, u64, Message),
-    /// Carried out, and answered if its agent still waits for it.
-    Execute(Sent),
-    /// Carried out, and the answer is lost.
-    ExecuteUnanswered(Sent),
-    /// The agent gives up waiting; the order stays on its way.
+    /// Carry out an order, and answer it if its agent still waits.
+    Execute(OrderInFlight),
+    /// Carry out an order whose answer is lost.
+    ExecuteUnanswered(OrderInFlight),
+    /// The agent stops waiting for the answer; the order stays in flight.
     GiveUp(u16),
     Read(u16),
     Tick(u16),
     Crash(u16),
+    /// The group forms again.
     Form,
     Step,
 }
@@ -138,7 +144,7 @@
         let reading = Reading { step: 1, ..Reading::default() };
         Self {
             engines: vec![Engine { reading, fence: 0 }; size.into()],
-            agents: (0..size).map(|me| Member::open(me, size, 10).expect("opened")).collect(),
+            agents: (0..size).map(|me| Member::open(me, size, 10).expect("valid member")).collect(),
             incarnations: vec![0; size.into()],
             mail: BTreeSet::new(),
             orders: BTreeSet::new(),
@@ -158,10 +164,12 @@
         }
         actions
             .extend(self.mail.iter().map(|&(from, to, at, it)| Action::Deliver(from, to, at, it)));
-        for &it in &self.orders {
-            actions.push(Action::Execute(it));
-            if self.unanswered < limits.unanswered && self.waits[usize::from(it.rank)] == Some(it) {
-                actions.push(Action::ExecuteUnanswered(it));
+        for &sent in &self.orders {
+            actions.push(Action::Execute(sent));
+            if self.unanswered < limits.unanswered
+                && self.waits[usize::from(sent.rank)] == Some(sent)
+            {
+                actions.push(Action::ExecuteUnanswered(sent));
             }
         }
         for rank in 0..limits.members {
@@ -194,8 +202,11 @@
                 }
                 Output::Order { order, epoch, fence } => {
                     let incarnation = self.incarnations[usize::from(rank)];
-                    let sent = Sent { rank, incarnation, epoch, fence, order };
-                    assert!(self.waits[usize::from(rank)].is_none(), "one order at a time");
+                    let sent = OrderInFlight { rank, incarnation, epoch, fence, order };
+                    assert!(
+                        self.waits[usize::from(rank)].is_none(),
+                        "rank {rank} already has an order in flight"
+                    );
                     self.waits[usize::from(rank)] = Some(sent);
                     self.orders.insert(sent);
                 }
@@ -203,12 +214,12 @@
         }
     }
 
-    fn execute(&mut self, limits: &Limits, it: Sent, answered: bool) {
-        self.orders.remove(&it);
-        let engine = &mut self.engines[usize::from(it.rank)];
-        let done = engine.apply(it.order, it.epoch, it.fence, limits.mutation);
-        let rank = usize::from(it.rank);
-        if self.waits[rank] != Some(it) {
+    fn execute(&mut self, limits: &Limits, sent: OrderInFlight, answered: bool) {
+        self.orders.remove(&sent);
+        let engine = &mut self.engines[usize::from(sent.rank)];
+        let done = engine.apply(sent.order, sent.epoch, sent.fence, limits.mutation);
+        let rank = usize::from(sent.rank);
+        if self.waits[rank] != Some(sent) {
             return;
         }
         self.waits[rank] = None;
@@ -216,8 +227,8 @@
             self.unanswered = self.unanswered.saturating_add(1);
         }
         self.agents[rank].on_done(if answered { done } else { Done::Unknown });
-        // The account is read next, on the same connection.
-        self.read(it.rank);
+        // The agent reads the engine's state next, on the same connection.
+        self.read(sent.rank);
     }
 
     fn read(&mut self, rank: u16) {
@@ -226,22 +237,23 @@
         self.carry_out(rank, outputs);
     }
 
-    /// Makes an action. An error is a broken promise.
-    fn make(&mut self, limits: &Limits, action: Action) -> Result<(), String> {
+    /// Performs an action. Returns an error if a step begins on two maps.
+    fn perform(&mut self, limits: &Limits, action: Action) -> Result<(), String> {
         match action {
             Action::Propose => {
                 let (planner, plan) = limits.plans[self.proposed];
                 self.proposed += 1;
-                // Preparing changes nothing that is in force; ranks that are armed refuse it.
+                // Preparing does not affect the map in force. Armed ranks refuse it.
                 for engine in &mut self.engines {
-                    let it = &mut engine.reading;
-                    if it.armed.is_none() && plan.version > it.version.max(it.prepared.unwrap_or(0))
+                    let state = &mut engine.reading;
+                    if state.armed.is_none()
+                        && plan.version > state.version.max(state.prepared.unwrap_or(0))
                     {
-                        it.prepared = Some(plan.version);
+                        state.prepared = Some(plan.version);
                     }
                 }
-                // A plan is proposed once all accounts show what is prepared,
-                // each by order of its own agent.
+                // A plan is proposed once every engine's state shows the version that its
+                // own agent had it prepare.
                 for rank in 0..limits.members {
                     self.agents[usize::from(rank)].prepare(plan.version);
                     if self.waits[usize::from(rank)].is_none() {
@@ -261,10 +273,10 @@
                     other => other,
                 };
                 let outputs = self.agents[usize::from(to)].on_message(from, epoch, message);
-                self.carry_out(to, outputs.expect("of this group"));
+                self.carry_out(to, outputs.expect("a message of this group"));
             }
-            Action::Execute(it) => self.execute(limits, it, true),
-            Action::ExecuteUnanswered(it) => self.execute(limits, it, false),
+            Action::Execute(sent) => self.execute(limits, sent, true),
+            Action::ExecuteUnanswered(sent) => self.execute(limits, sent, false),
             Action::GiveUp(rank) => {
                 self.unanswered = self.unanswered.saturating_add(1);
                 self.waits[usize::from(rank)] = None;
@@ -280,8 +292,8 @@
                 let index = usize::from(rank);
                 self.incarnations[index] += 1;
                 self.waits[index] = None;
-                // A clock that went back: the fence starts lower than it was.
-                self.agents[index] = Member::open(rank, limits.members, 5).expect("opened");
+                // The fence starts lower than before, as after a clock was set back.
+                self.agents[index] = Member::open(rank, limits.members, 5).expect("valid member");
             }
             Action::Form => {
                 for engine in &mut self.engines {
@@ -303,15 +315,15 @@
         }
         self.step = next;
         for engine in &mut self.engines {
-            let it = &mut engine.reading;
-            it.step = next;
-            if let Some(plan) = it.armed.filter(|it| it.step <= next) {
-                it.version = plan.version;
-                it.armed = None;
-                it.prepared = None;
+            let state = &mut engine.reading;
+            state.step = next;
+            if let Some(plan) = state.armed.filter(|it| it.step <= next) {
+                state.version = plan.version;
+                state.armed = None;
+                state.prepared = None;
             }
             if limits.mutation == Mutation::DoesNotHold {
-                it.held = it.held.filter(|it| *it > next);
+                state.held = state.held.filter(|it| *it > next);
             }
         }
         let versions: BTreeSet<u64> = self.engines.iter().map(|it| it.reading.version).collect();
@@ -321,16 +333,17 @@
         Ok(())
     }
 
-    /// Contact is back and nothing new happens: all that is held is let go.
-    fn goes_on(&self, limits: &Limits) -> bool {
+    /// Whether all held steps are released once all messages and orders get through and
+    /// no further faults occur.
+    fn recovers(&self, limits: &Limits) -> bool {
         let mut world = self.clone();
         for _ in 0..200 {
-            for it in world.orders.clone() {
-                world.execute(limits, it, true);
+            for sent in world.orders.clone() {
+                world.execute(limits, sent, true);
             }
             for (from, to, epoch, message) in std::mem::take(&mut world.mail) {
                 let outputs = world.agents[usize::from(to)].on_message(from, epoch, message);
-                world.carry_out(to, outputs.expect("of this group"));
+                world.carry_out(to, outputs.expect("a message of this group"));
             }
             for rank in 0..limits.members {
                 if world.waits[usize::from(rank)].is_none() {
@@ -348,18 +361,19 @@
     }
 }
 
-fn name(world: &World) -> u64 {
+fn fingerprint(world: &World) -> u64 {
     let mut hasher = DefaultHasher::new();
     world.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Visits states breadth first, up to `most`. The number visited and whether
-/// those are all, or the broken promise.
-fn search(limits: &Limits, most: usize) -> Result<(usize, bool), String> {
+/// Visits states breadth first, about `max_states` at most. Returns the number of states
+/// visited and whether these are all reachable ones, or an error if a step begins on two
+/// maps.
+fn search(limits: &Limits, max_states: usize) -> Result<(usize, bool), String> {
     let mut seen = HashSet::new();
     let first = World::open(limits);
-    seen.insert(name(&first));
+    seen.insert(fingerprint(&first));
     let mut layer = vec![(first, Vec::new())];
     while !layer.is_empty() {
         let mut next = Vec::new();
@@ -368,12 +382,12 @@
                 let mut after = world.clone();
                 let mut path = path.clone();
                 path.push(action);
-                after.make(limits, action).map_err(|e| format!("{e} by {path:#?}"))?;
-                if seen.insert(name(&after)) {
+                after.perform(limits, action).map_err(|e| format!("{e} by {path:#?}"))?;
+                if seen.insert(fingerprint(&after)) {
                     next.push((after, path));
                 }
             }
-            if seen.len() > most {
+            if seen.len() > max_states {
                 return Ok((seen.len(), false));
             }
         }
@@ -382,20 +396,20 @@
     Ok((seen.len(), true))
 }
 
-/// Walks at random, and sees at the end whether the group can go on.
+/// Performs `length` random actions, then checks that the group recovers.
 fn walk(limits: &Limits, seed: u64, length: usize) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::open(limits);
     for _ in 0..length {
         let actions = world.actions(limits);
         let action = actions[rng.random_range(0..actions.len())];
-        world.make(limits, action).map_err(|e| format!("seed {seed}: {e} by {action:?}"))?;
+        world.perform(limits, action).map_err(|e| format!("seed {seed}: {e} by {action:?}"))?;
     }
-    if world.goes_on(limits) {
+    if world.recovers(limits) {
         return Ok(());
     }
     let engines = &world.engines;
-    Err(format!("seed {seed}: held for good: {engines:#?} {:#?}", world.agents))
+    Err(format!("seed {seed}: a step stays held: {engines:#?} {:#?}", world.agents))
 }
 
 const PLAN: Plan = Plan { version: 1, step: 3 };
@@ -421,13 +435,14 @@
     mutation: Mutation::None,
 };
 
-/// States visited of the settings that are too many to visit all, unless the
-/// variable `SABLEPASS_STATES` says otherwise.
-const MOST: usize = 50_000;
-/// Walks, unless the variable `SABLEPASS_WALKS` says otherwise.
-const WALKS: usize = 1_000;
+/// Default maximum number of states to visit per setting. The environment variable
+/// `SABLEPASS_STATES` overrides it.
+const DEFAULT_MAX_STATES: usize = 50_000;
+/// Default number of random walks. The environment variable `SABLEPASS_WALKS` overrides
+/// it.
+const DEFAULT_WALKS: usize = 1_000;
 
-fn setting(name: &str, default: usize) -> usize {
+fn env_or(name: &str, default: usize) -> usize {
     std::env::var(name).ok().and_then(|it| it.parse().ok()).unwrap_or(default)
 }
 
@@ -441,8 +456,8 @@
         LARGE,
     ];
     for limits in &settings {
-        let (states, all) =
-            search(limits, setting("SABLEPASS_STATES", MOST)).unwrap_or_else(|e| panic!("{e}"));
+        let (states, all) = search(limits, env_or("SABLEPASS_STATES", DEFAULT_MAX_STATES))
+            .unwrap_or_else(|e| panic!("{e}"));
         println!(
             "{} members, {} crashes, {} plans: {states} states, all: {all}",
             limits.members,
@@ -454,7 +469,7 @@
 
 #[test]
 fn verify_walks_go_on() {
-    for seed in 0..setting("SABLEPASS_WALKS", WALKS) {
+    for seed in 0..env_or("SABLEPASS_WALKS", DEFAULT_WALKS) {
         walk(&LARGE, seed as u64, 250).unwrap_or_else(|e| panic!("{e}"));
     }
 }
@@ -475,14 +490,16 @@
     }
 }
 
-/// Delivers all mail and carries out all orders, some times over.
+/// Delivers all messages and carries out all orders, repeatedly.
 fn settle(world: &mut World, limits: &Limits) {
     for _ in 0..20 {
-        for it in world.orders.clone() {
-            world.execute(limits, it, true);
+        for sent in world.orders.clone() {
+            world.execute(limits, sent, true);
         }
         for (from, to, epoch, message) in std::mem::take(&mut world.mail) {
-            world.make(limits, Action::Deliver(from, to, epoch, message)).expect("kept");
+            world
+                .perform(limits, Action::Deliver(from, to, epoch, message))
+                .expect("no step on two maps");
         }
         for rank in 0..limits.members {
             if world.waits[usize::from(rank)].is_none() {
@@ -492,21 +509,21 @@
     }
 }
 
-/// Without faults plans are carried out, one after the other.
+/// Checks that all plans are carried out in sequence if there are no faults.
 fn carries_out(limits: &Limits) {
     let mut world = World::open(limits);
     settle(&mut world, limits);
     for (_, plan) in limits.plans {
-        world.make(limits, Action::Propose).expect("kept");
+        world.perform(limits, Action::Propose).expect("no step on two maps");
         settle(&mut world, limits);
         while world.step < plan.step {
             let before = world.step;
-            world.make(limits, Action::Step).expect("kept");
-            assert!(world.step > before, "{} members: step {before} lasts", limits.members);
+            world.perform(limits, Action::Step).expect("no step on two maps");
+            assert!(world.step > before, "{} members: step {before} does not end", limits.members);
         }
         settle(&mut world, limits);
-        let on = world.engines.iter().filter(|it| it.reading.version == plan.version).count();
-        assert_eq!(on, usize::from(limits.members), "ranks on version {}", plan.version);
+        let switched = world.engines.iter().filter(|it| it.reading.version == plan.version).count();
+        assert_eq!(switched, usize::from(limits.members), "ranks on version {}", plan.version);
         assert!(world.agents.iter().all(Member::is_free));
     }
 }
@@ -519,20 +536,21 @@
     }
 }
 
-/// Everything happens at once, and much of it goes wrong: messages are lost or
-/// come later, orders are late or unanswered, agents start anew.
-fn storm(limits: &Limits, seed: u64) -> Result<(), String> {
+/// Runs plans under frequent faults: messages are lost or delayed, orders are late or
+/// unanswered, agents restart, and the group forms again. Then checks that the group
+/// recovers.
+fn fault_storm(limits: &Limits, seed: u64) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::open(limits);
     for round in 0..40 {
         if round % 8 == 4 && world.proposed < limits.plans.len() {
-            world.make(limits, Action::Propose)?;
+            world.perform(limits, Action::Propose)?;
         }
-        for it in world.orders.clone() {
+        for sent in world.orders.clone() {
             match rng.random_range(0..20) {
                 0 => {}
-                1 => world.execute(limits, it, false),
-                _ => world.execute(limits, it, true),
+                1 => world.execute(limits, sent, false),
+                _ => world.execute(limits, sent, true),
             }
         }
         for (from, to, epoch, message) in std::mem::take(&mut world.mail) {
@@ -541,30 +559,30 @@
                 1 => {
                     world.mail.insert((from, to, epoch, message));
                 }
-                _ => world.make(limits, Action::Deliver(from, to, epoch, message))?,
+                _ => world.perform(limits, Action::Deliver(from, to, epoch, message))?,
             }
         }
         for rank in 0..limits.members {
             if world.waits[usize::from(rank)].is_none() {
-                world.make(limits, Action::Read(rank))?;
+                world.perform(limits, Action::Read(rank))?;
             } else if rng.random_bool(0.1) {
-                world.make(limits, Action::GiveUp(rank))?;
+                world.perform(limits, Action::GiveUp(rank))?;
             }
             if rng.random_bool(0.3) {
-                world.make(limits, Action::Tick(rank))?;
+                world.perform(limits, Action::Tick(rank))?;
             }
             if rng.random_bool(0.005) {
-                world.make(limits, Action::Crash(rank))?;
+                world.perform(limits, Action::Crash(rank))?;
             }
         }
         if rng.random_bool(0.4) {
-            world.make(limits, Action::Step)?;
+            world.perform(limits, Action::Step)?;
         }
         if rng.random_bool(0.02) {
-            world.make(limits, Action::Form)?;
+            world.perform(limits, Action::Form)?;
         }
     }
-    if world.goes_on(limits) { Ok(()) } else { Err(format!("seed {seed}: held for good")) }
+    if world.recovers(limits) { Ok(()) } else { Err(format!("seed {seed}: a step stays held")) }
 }
 
 #[test]
@@ -578,7 +596,7 @@
     for members in [130, 192] {
         let limits = Limits { members, plans: PLANS, last_step: 60, ..LARGE };
         for seed in 0..4 {
-            storm(&limits, seed).unwrap_or_else(|e| panic!("{members} members, {e}"));
+            fault_storm(&limits, seed).unwrap_or_else(|e| panic!("{members} members, {e}"));
         }
     }
 }
@@ -588,7 +606,7 @@
     let mutation = Mutation::DoesNotHold;
     let plans = &[(0, PLAN), (0, NEXT)];
     let limits = Limits { members: 130, plans, last_step: 60, mutation, ..LARGE };
-    let found = |seed| storm(&limits, seed).is_err_and(|e| e.contains("began on"));
+    let found = |seed| fault_storm(&limits, seed).is_err_and(|e| e.contains("began on"));
     assert!((0..10).any(found));
 }
 
@@ -598,22 +616,27 @@
         let limits = Limits { members, unanswered: 0, ..SMALL };
         let mut world = World::open(&limits);
         settle(&mut world, &limits);
-        world.make(&limits, Action::Propose).expect("kept");
-        let mut taken = vec![0; usize::from(members)];
+        world.perform(&limits, Action::Propose).expect("no step on two maps");
+        let mut received = vec![0; usize::from(members)];
         while !(world.mail.is_empty() && world.orders.is_empty()) {
-            for it in world.orders.clone() {
-                world.execute(&limits, it, true);
+            for sent in world.orders.clone() {
+                world.execute(&limits, sent, true);
             }
             for (from, to, epoch, message) in std::mem::take(&mut world.mail) {
-                taken[usize::from(to)] += 1;
-                world.make(&limits, Action::Deliver(from, to, epoch, message)).expect("kept");
+                received[usize::from(to)] += 1;
+                world
+                    .perform(&limits, Action::Deliver(from, to, epoch, message))
+                    .expect("no step on two maps");
             }
         }
-        // The plan down, the votes up, the outcome down.
-        let most = 3 * u32::from(members);
-        assert!(taken.iter().sum::<u32>() <= most, "{members} members: {taken:?}");
-        let at_one = 2.0 * f64::from(members).sqrt().ceil() + 2.0;
-        assert!(taken.iter().all(|it| f64::from(*it) <= at_one), "{members} members: {taken:?}");
+        // The plan is sent down the tree, the votes up, and the outcome down.
+        let max_total = 3 * u32::from(members);
+        assert!(received.iter().sum::<u32>() <= max_total, "{members} members: {received:?}");
+        let max_each = 2.0 * f64::from(members).sqrt().ceil() + 2.0;
+        assert!(
+            received.iter().all(|it| f64::from(*it) <= max_each),
+            "{members} members: {received:?}"
+        );
         assert!(world.engines.iter().all(|it| it.reading.armed.is_some()));
         assert!(world.engines.iter().all(|it| it.reading.held.is_none()));
     }
@@ -626,7 +649,7 @@
         let mut seen = Members::one(0);
         for member in 0..size {
             for child in tree.children(member) {
-                assert!(!seen.contains(child), "{size}: {child} has two above");
+                assert!(!seen.contains(child), "{size} members: {child} has two parents");
                 seen.insert(child);
                 assert_eq!(tree.parent(child), Some(member));
             }
@@ -641,12 +664,12 @@
 fn verify_no_two_members_share_a_place_in_a_set() {
     let mut all = Members::default();
     for member in 0..MAX_MEMBERS {
-        assert!(!all.contains(member), "{member}");
+        assert!(!all.contains(member), "{member} shares a bit with a lower member");
         assert!(all.insert(member));
         assert_eq!((all.len(), all.last()), (u32::from(member) + 1, Some(member)));
         assert_eq!(Members::parse(&all.encode(), member + 1), Ok(all));
     }
-    assert!(!all.insert(MAX_MEMBERS), "no group has it");
+    assert!(!all.insert(MAX_MEMBERS), "a set accepted a member beyond the maximum");
 }
 
 #[test]
@@ -679,8 +702,8 @@
     assert_eq!(*member, before);
 }
 
-/// The order among what a member wants done.
-fn ordered(outputs: &[Output]) -> Option<Order> {
+/// Returns the order among a member's outputs, if any.
+fn first_order(outputs: &[Output]) -> Option<Order> {
     outputs.iter().find_map(|it| match it {
         Output::Order { order, .. } => Some(*order),
         Output::Send(..) => None,
@@ -691,19 +714,19 @@
 fn verify_an_unanswered_go_is_given_again_without_a_tick() {
     let plan = Plan { version: 2, step: 9 };
     let idle = Reading { epoch: 1, step: 5, version: 1, prepared: Some(2), ..Reading::default() };
-    let mut member = Member::open(0, 1, 0).expect("opened");
-    assert_eq!(ordered(&member.on_reading(idle)), Some(Order::Bar));
+    let mut member = Member::open(0, 1, 0).expect("valid member");
+    assert_eq!(first_order(&member.on_reading(idle)), Some(Order::Bar));
     member.on_done(Done::Taken);
-    assert_eq!(ordered(&member.on_reading(idle)), None);
+    assert_eq!(first_order(&member.on_reading(idle)), None);
     member.prepare(2);
-    assert_eq!(ordered(&member.propose(plan)), Some(Order::Hold(9)));
+    assert_eq!(first_order(&member.propose(plan)), Some(Order::Hold(9)));
     member.on_done(Done::Taken);
     let held = Reading { held: Some(9), ..idle };
-    assert_eq!(ordered(&member.on_reading(held)), Some(Order::Arm(plan)));
+    assert_eq!(first_order(&member.on_reading(held)), Some(Order::Arm(plan)));
     member.on_done(Done::Taken);
     let armed = Reading { armed: Some(plan), ..held };
-    assert_eq!(ordered(&member.on_reading(armed)), Some(Order::Go(9)));
+    assert_eq!(first_order(&member.on_reading(armed)), Some(Order::Go(9)));
     member.on_done(Done::Unknown);
-    // The step is held for as long as this takes.
-    assert_eq!(ordered(&member.on_reading(armed)), Some(Order::Go(9)));
+    // The step stays held until the order is repeated, so it is repeated at once.
+    assert_eq!(first_order(&member.on_reading(armed)), Some(Order::Go(9)));
 }
