--- a/crates/sablepass-core/tests/switch.rs
+++ b/crates/sablepass-core/tests/switch.rs
@@ -1,11 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The switch of a group, explored exhaustively: the code that runs, not a
-//! copy. Messages and orders may be lost, doubled, reordered and late;
-//! members' agents die, restart and pause; two planners propose at once;
-//! predecessors' orders arrive after a restart. No step may be made on two
-//! maps, and from every state the group can go on once contact is back.
+//! Model check of `expert::switch`, run on the production code: an exhaustive search
+//! of small settings, and random walks of larger ones. Messages and orders may be lost,
+//! duplicated, reordered and delayed; agents crash, restart and pause; two planners
+//! propose concurrently; orders of a predecessor arrive after a restart. No step may run
+//! on two maps, and the group must recover from every state once messages and orders
+//! get through again.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
@@ -13,15 +14,15 @@
 
 use sablepass_core::expert::switch::{Member, Message, Order, Output, Plan, Register};
 
-/// A fault put into the code under test, which the search must find.
+/// A fault injected into the code under test, which the search must detect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// A member's refusal is not kept by its engine.
+    /// An engine does not store its member's refusal.
     ChangesVote,
-    /// A planner's agent switches alone once most have promised.
+    /// An agent commits once a majority of the members has promised.
     Majority,
-    /// An engine does not hold at the named step.
+    /// An engine does not wait at the named step.
     DoesNotHold,
 }
 
@@ -29,6 +30,7 @@
 struct Limits {
     members: u8,
     crashes: u8,
+    /// Plans in the order of their proposal, each with its proposing member.
     plans: &'static [(u8, Plan)],
     last_step: u64,
     mutation: Mutation,
@@ -38,11 +40,14 @@
 struct World {
     registers: Vec<Register>,
     agents: Vec<Member>,
-    /// Everything ever sent; it may arrive again at any time.
+    /// All messages sent so far, with sender and receiver; each may be delivered again at
+    /// any time.
     mail: BTreeSet<(u8, u8, Message)>,
-    /// Everything ever ordered, with the incarnation that did.
+    /// All orders given so far, with the member and its agent's incarnation; each may be
+    /// carried out again at any time.
     orders: BTreeSet<(u8, u8, Order)>,
     incarnations: Vec<u8>,
+    /// Number of plans proposed so far.
     proposed: usize,
 }
 
@@ -106,16 +111,17 @@
 
     fn execute(&mut self, limits: &Limits, at: u8, by: u8, order: Order) {
         let index = usize::from(at);
-        let forgets = limits.mutation == Mutation::ChangesVote && matches!(order, Order::Bar(_));
-        if !forgets {
+        let loses_refusal =
+            limits.mutation == Mutation::ChangesVote && matches!(order, Order::Bar(_));
+        if !loses_refusal {
             self.registers[index].apply(order);
         }
         if by != self.incarnations[index] {
             return;
         }
         let mut register = self.registers[index];
-        if forgets && let Order::Bar(version) = order {
-            // The agent believes that it refused; the engine did not keep it.
+        if loses_refusal && let Order::Bar(version) = order {
+            // The agent sees its refusal in the register, but the engine did not store it.
             register.floor = register.floor.max(version);
         }
         let mut outputs = self.agents[index].on_done(register);
@@ -172,7 +178,7 @@
         self.registers.iter_mut().for_each(Register::advance);
         let maps: BTreeSet<Option<Plan>> = self.registers.iter().map(|it| it.current).collect();
         if maps.len() > 1 {
-            return Err(format!("step {} on {maps:?}", self.registers[0].step - 1));
+            return Err(format!("step {} ran on maps {maps:?}", self.registers[0].step - 1));
         }
         Ok(())
     }
@@ -183,8 +189,9 @@
         hasher.finish()
     }
 
-    /// With everything delivered and everyone alive, nobody holds for ever.
-    fn goes_on(&self, limits: &Limits) -> bool {
+    /// Whether all engines can step again once all messages and orders get through and no
+    /// further faults occur.
+    fn recovers(&self, limits: &Limits) -> bool {
         let mut world = self.clone();
         for _ in 0..12 {
             if world.registers.iter().all(Register::may_step) {
@@ -204,8 +211,10 @@
     }
 }
 
-/// Explores all states up to a number; how many there were.
-fn explore(limits: &Limits, most: usize) -> Result<(usize, bool), String> {
+/// Visits states breadth first, `max_states` at most. Returns the number of states visited
+/// and whether these are all reachable ones, or an error if a step runs on two maps or the
+/// group cannot recover.
+fn explore(limits: &Limits, max_states: usize) -> Result<(usize, bool), String> {
     let mut seen = HashSet::new();
     let mut queue = std::collections::VecDeque::new();
     let start = World::open(limits);
@@ -213,19 +222,19 @@
     queue.push_back(start);
     while let Some(world) = queue.pop_front() {
         let checked = limits.mutation == Mutation::None;
-        if checked && !world.goes_on(limits) {
-            return Err(format!("held for ever: {:?}", world.registers));
+        if checked && !world.recovers(limits) {
+            return Err(format!("the group cannot step any more: {:?}", world.registers));
         }
         for action in world.actions(limits) {
             let mut next = world.clone();
             next.act(limits, action).map_err(|e| format!("{e} after {action:?}"))?;
-            if seen.len() < most && seen.insert(next.fingerprint()) {
+            if seen.len() < max_states && seen.insert(next.fingerprint()) {
                 queue.push_back(next);
             }
         }
     }
-    let whole = seen.len() < most;
-    Ok((seen.len(), whole))
+    let complete = seen.len() < max_states;
+    Ok((seen.len(), complete))
 }
 
 const ONE: Plan = Plan { version: 1, step: 2, digest: 7 };
@@ -236,16 +245,16 @@
     Limits { members, crashes, plans, last_step: 4, mutation: Mutation::None }
 }
 
-/// States that a test explores at most, so that it ends in seconds.
-/// `SABLEPASS_STATES` sets another number for a longer search.
-fn most() -> usize {
+/// Maximum number of states that a test explores, so that it ends in seconds. The
+/// environment variable `SABLEPASS_STATES` overrides it for a longer search.
+fn max_states() -> usize {
     std::env::var("SABLEPASS_STATES").ok().and_then(|it| it.parse().ok()).unwrap_or(60_000)
 }
 
 fn verify(name: &str, limits: &Limits) {
-    match explore(limits, most()) {
-        Ok((states, whole)) => {
-            println!("{name}: {states} states, {}", if whole { "all" } else { "cut off" });
+    match explore(limits, max_states()) {
+        Ok((states, complete)) => {
+            println!("{name}: {states} states, {}", if complete { "all" } else { "cut off" });
         }
         Err(e) => panic!("{name}: {e}"),
     }
@@ -279,12 +288,12 @@
         let members = if mutation == Mutation::Majority { 3 } else { 2 };
         let limits = Limits { mutation, ..limits(members, 1, &[(0, ONE)]) };
         let found = explore(&limits, 400_000);
-        assert!(found.is_err(), "a broken switch passed {found:?}");
+        assert!(found.is_err(), "the search did not detect an injected fault: {found:?}");
     }
 }
 
-/// Deep random walks where the exhaustive search does not reach: four members,
-/// one planner or three, three crashes, plans some steps ahead.
+/// Random walks beyond the reach of the exhaustive search: four members, one or three
+/// planners, three crashes, and plans some steps ahead.
 #[test]
 fn verify_random_walks() {
     use rand::rngs::StdRng;
@@ -303,13 +312,17 @@
         for _ in 0..2_000 {
             let actions = world.actions(&limits);
             let action = actions[rng.random_range(0..actions.len())];
-            // A question that overtakes its plan is a refusal, so these are rare.
+            // Ticks are kept rare: a query that arrives before its plan leads to a refusal.
             if matches!(action, Action::Tick(_)) && rng.random_bool(0.98) {
                 continue;
             }
             world.act(&limits, action).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         }
-        assert!(world.goes_on(&limits), "seed {seed}: held for ever: {:?}", world.registers);
+        assert!(
+            world.recovers(&limits),
+            "seed {seed}: the group cannot step any more: {:?}",
+            world.registers
+        );
         switched += usize::from(world.registers[0].current.is_some());
     }
     assert!(switched > 100, "only {switched} of 1,000 walks switched at all");
