--- a/crates/sablepass-core/src/expert/barrier.rs
+++ b/crates/sablepass-core/src/expert/barrier.rs
@@ -150,7 +150,7 @@
 struct Votes {
     yes: Members,
     no: bool,
-    /// The votes of the member's whole subtree were sent to its parent.
+    /// The votes of the member's whole subtree, or the outcome, were sent to its parent.
     sent_up: bool,
     /// The outcome was forwarded.
     outcome_sent: bool,
@@ -223,7 +223,8 @@
 
 impl Member {
     /// Creates the agent of member `me` in a group of `size` members. Its orders carry
-    /// fences above `fence`.
+    /// fences above `fence`. Returns an error if the group is too large or does not have
+    /// the member.
     pub fn open(me: u16, size: u16, fence: u64) -> Result<Self, Error> {
         ensure!(size <= MAX_MEMBERS, TooManySnafu { size });
         members::check(me, size)?;
@@ -286,7 +287,8 @@
         self.fence += FENCE_JUMP;
     }
 
-    /// Handles a message from a member. Messages of another epoch are ignored.
+    /// Handles a message from a member. Messages of another epoch are ignored. Returns an
+    /// error if the sender or a member in the votes does not belong to the group.
     pub fn on_message(
         &mut self,
         from: u16,
