--- a/crates/sablepass-core/src/expert/watch.rs
+++ b/crates/sablepass-core/src/expert/watch.rs
@@ -7,9 +7,10 @@
 //! The counts of each interval are compared with the sum of those since the last
 //! shift. The distance between two intervals of the same demand depends on the
 //! number of requests per interval, so its usual value and deviation are learnt as
-//! moving averages, scaled to two single intervals: the distance to a sum is smaller
-//! the more intervals the sum contains. An interval whose distance is far above the
-//! usual value belongs to a new demand, and the earlier counts are discarded.
+//! moving averages. The distance to a sum is smaller the more intervals the sum
+//! contains, so each distance is scaled to that from a sum of many intervals. An
+//! interval whose distance is far above the usual value belongs to a new demand, and
+//! the earlier counts are discarded.
 
 use crate::expert::demand;
 use crate::id::Millis;
@@ -48,7 +49,7 @@
     demand: Option<Vec<Vec<f64>>>,
     /// Sum of the decayed weights of the intervals in `demand`.
     intervals: f64,
-    /// Usual distance between two intervals of the same demand.
+    /// Usual distance of an interval from a sum of many intervals of the same demand.
     usual_distance: f64,
     /// Usual deviation from `usual_distance`.
     usual_deviation: f64,
