--- a/crates/sablepass-core/src/expert/members.rs
+++ b/crates/sablepass-core/src/expert/members.rs
@@ -124,7 +124,8 @@
         ensure!(bytes.len() <= WORDS * WORD_BITS / BYTE_BITS, LengthSnafu { bytes: bytes.len() });
         let mut set = Self::default();
         for (index, byte) in bytes.iter().enumerate() {
-            set.0[index * BYTE_BITS / WORD_BITS] |= u64::from(*byte) << (index * BYTE_BITS % WORD_BITS);
+            set.0[index * BYTE_BITS / WORD_BITS] |=
+                u64::from(*byte) << (index * BYTE_BITS % WORD_BITS);
         }
         set.check(size)?;
         Ok(set)
