--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -222,7 +222,7 @@
     /// a group's first map is known before any counts are.
     pub fn lag(&self) -> Option<f64> {
         let group = self.group.as_ref().filter(|it| it.rank == 0 && it.open);
-        let first = group.filter(|it| it.reading.version == 0).map(|_| rebalance::FIRST_LAG);
+        let first = group.filter(|it| it.reading.version == 0).map(|_| rebalance::INITIAL_LAG);
         self.lag.filter(|_| self.is_active()).or(first)
     }
 
--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -56,7 +56,7 @@
 
     fn changed_map(&self, it: &wire::Proposal) -> Result<Map, difference::Error> {
         let known = self.base.as_ref().filter(|base| base.version == it.base);
-        let first = || Map::dealt(self.map_shape()?).ok().filter(|_| it.base == 0);
+        let first = || Map::initial(self.map_shape()?).ok().filter(|_| it.base == 0);
         let base = known.map(|it| it.map.clone()).or_else(first);
         let base = base.ok_or(difference::Error::Other)?;
         difference::apply(&base, &it.changes, it.digest)
@@ -109,8 +109,8 @@
             return;
         }
         let Some(held) = self.held_map() else { return };
-        let dealt = Map::dealt(held.shape).ok().filter(|it| version == 0 && it.holds_same(&held));
-        self.base = Some(Base { version, map: dealt.unwrap_or(held) });
+        let initial = Map::initial(held.shape).ok().filter(|it| version == 0 && it.holds_same(&held));
+        self.base = Some(Base { version, map: initial.unwrap_or(held) });
     }
 
     fn held_map(&self) -> Option<Map> {
--- a/crates/sablepass-core/src/expert/map.rs
+++ b/crates/sablepass-core/src/expert/map.rs
@@ -327,7 +327,7 @@
 
     /// The map of a group that formed just now: each expert once, in turn over the
     /// ranks.
-    pub fn dealt(shape: Shape) -> Result<Self, Error> {
+    pub fn initial(shape: Shape) -> Result<Self, Error> {
         let mut slots = vec![EMPTY; shape.ranks * shape.slots];
         for expert in 0..shape.experts {
             let (rank, place) = (expert % shape.ranks, expert / shape.ranks);
--- a/crates/sablepass-core/src/expert/rebalance.rs
+++ b/crates/sablepass-core/src/expert/rebalance.rs
@@ -19,7 +19,7 @@
 
 /// Lag that a group's first map is taken to have before any counts tell: experts
 /// are dealt out in turn there, and it had 2.2 to 3.3 on most deployments known.
-pub const FIRST_LAG: f64 = 3.0;
+pub const INITIAL_LAG: f64 = 3.0;
 
 /// New experts at the rank that gets most, for which the search notes a map.
 const COPIES: [usize; 9] = [1, 2, 3, 4, 6, 8, 12, 16, 24];
--- a/crates/sablepass-core/tests/difference.rs
+++ b/crates/sablepass-core/tests/difference.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn verify_dealt_maps_hold_each_expert_once() {
-    let map = Map::dealt(LARGE).expect("built");
+    let map = Map::initial(LARGE).expect("built");
     assert!(map.layers.iter().all(|it| (0..384).all(|expert| it.replicas(Expert(expert)) == 1)));
-    assert!(Map::dealt(Shape { slots: 1, ..LARGE }).is_err(), "384 experts, 192 slots");
+    assert!(Map::initial(Shape { slots: 1, ..LARGE }).is_err(), "384 experts, 192 slots");
 }
--- a/crates/sablepass-core/tests/foresight.rs
+++ b/crates/sablepass-core/tests/foresight.rs
@@ -43,7 +43,7 @@
 /// Changes of map in some seconds of one demand, and in the second after a shift.
 fn changes(seed: u64, learns: bool) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut map = Map::dealt(SHAPE).expect("built");
+    let mut map = Map::initial(SHAPE).expect("built");
     let (mut watch, mut foresight) = (Watch::default(), Foresight::default());
     let (mut steady, mut shifted) = (0, 0);
     let mut mix = popularity(&mut rng);
--- a/crates/sablepass-entry/src/targets/groups.rs
+++ b/crates/sablepass-entry/src/targets/groups.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use sablepass_core::declaration::Kind;
-use sablepass_core::expert::rebalance::FIRST_LAG;
+use sablepass_core::expert::rebalance::INITIAL_LAG;
 use sablepass_core::forming::{self, Forming, Opens, Ranks, Times};
 use sablepass_core::id::Millis;
 use sablepass_core::membership::Pace;
@@ -128,7 +128,7 @@
         }
         let Some(Opens { within, sure }) = self.opens(now, served) else { return Room::Closed };
         let it = self.whole(served);
-        Room::Opens { within, places: places(&it, FIRST_LAG), sure }
+        Room::Opens { within, places: places(&it, INITIAL_LAG), sure }
     }
 
     /// Lag of a group's map, as its planner told it.
