--- a/crates/sablepass-agent/src/ranks/tally.rs
+++ b/crates/sablepass-agent/src/ranks/tally.rs
@@ -5,7 +5,7 @@
 //! requests chose.
 
 use sablepass_core::expert::demand;
-use sablepass_core::expert::draw::{self, Telling};
+use sablepass_core::expert::draw::{self, ReportPlan};
 use sablepass_core::id::Millis;
 use sablepass_core::reason::Ignored;
 use sablepass_edge::mesh::PeerKey;
@@ -56,9 +56,9 @@
     }
 
     /// How the planner has the ranks tell their counts.
-    fn telling(&self) -> Telling {
+    fn report_plan(&self) -> ReportPlan {
         let (layers, experts) = self.layers_experts();
-        draw::telling(demand::SAMPLE, layers, experts, self.link, COUNTS_EVERY)
+        draw::report_plan(demand::SAMPLE, layers, experts, self.link, COUNTS_EVERY)
     }
 
     /// The ranks whose counts the planner asks for.
@@ -66,7 +66,7 @@
         let size = self.group.as_ref().map_or(0, |it| it.size);
         let near = |rank| rank == 0 || self.ranks.get(&rank).is_some_and(|it| it.near);
         let near: Vec<bool> = (0..size).map(near).collect();
-        demand::sample(&near, self.telling().ranks)
+        demand::sample(&near, self.report_plan().ranks)
     }
 
     /// What the own rank's requests chose, for the planner.
@@ -111,7 +111,7 @@
 
     fn tell_one(&self, tally: &wire::Tally, asked: &[PeerKey], peer: PeerKey) -> Do {
         let samples = asked.contains(&peer);
-        let draws = self.telling().draws.filter(|_| samples).unwrap_or(0);
+        let draws = self.report_plan().draws.filter(|_| samples).unwrap_or(0);
         Do::Send(peer, Body::Tally(wire::Tally { samples, draws, ..tally.clone() }))
     }
 
--- a/crates/sablepass-core/src/expert/draw.rs
+++ b/crates/sablepass-core/src/expert/draw.rs
@@ -51,7 +51,7 @@
 
 /// How ranks tell their counts, so that the planner's link takes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Telling {
+pub struct ReportPlan {
     /// Ranks that tell.
     pub ranks: usize,
     /// Draws of a layer; none where all counts are told as they are.
@@ -60,19 +60,19 @@
 
 /// The choice for counts of `layers` and `experts`, told by `ranks` at most every
 /// `interval` milliseconds into a link of so many Mbit/s.
-pub fn telling(ranks: usize, layers: usize, experts: usize, link: f64, interval: f64) -> Telling {
+pub fn report_plan(ranks: usize, layers: usize, experts: usize, link: f64, interval: f64) -> ReportPlan {
     let bytes = link * BYTES_PER_MBIT * interval * LINK_PART;
     let each = bytes / ranks.max(1) as f64;
     let layers = layers.max(1) as f64;
     if each >= layers * experts as f64 * COUNT_BYTES {
-        return Telling { ranks, draws: None };
+        return ReportPlan { ranks, draws: None };
     }
     let draws = (each / layers / DRAW_BYTES).floor();
     if draws >= LEAST_DRAWS {
-        return Telling { ranks, draws: Some(draws as u32) };
+        return ReportPlan { ranks, draws: Some(draws as u32) };
     }
     let fit = bytes / (layers * LEAST_DRAWS * DRAW_BYTES);
-    Telling { ranks: (fit as usize).clamp(1, ranks.max(1)), draws: Some(LEAST_DRAWS as u32) }
+    ReportPlan { ranks: (fit as usize).clamp(1, ranks.max(1)), draws: Some(LEAST_DRAWS as u32) }
 }
 
 /// What was chosen in a layer, as it is told.
--- a/crates/sablepass-core/tests/draw.rs
+++ b/crates/sablepass-core/tests/draw.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::expert::demand::{SAMPLE, likeness};
-use sablepass_core::expert::draw::{self, Error, Layer, Telling};
+use sablepass_core::expert::draw::{self, Error, Layer, ReportPlan};
 
 /// Milliseconds between two tellings.
 const INTERVAL: f64 = 100.0;
@@ -36,7 +36,7 @@
         for layers in [1, 4, 10, 16, 61] {
             for experts in [8, 64, 144, 384, 1_024] {
                 for ranks in [1, 16, 24] {
-                    let it = draw::telling(ranks, layers, experts, link, INTERVAL);
+                    let it = draw::report_plan(ranks, layers, experts, link, INTERVAL);
                     let mut rng = StdRng::seed_from_u64(experts as u64);
                     let counts = chosen(&mut rng, &popularity(experts));
                     let layer = match it.draws {
@@ -62,11 +62,11 @@
 
 #[test]
 fn verify_small_groups_tell_all_counts() {
-    let all = |ranks| Telling { ranks, draws: None };
-    assert_eq!(draw::telling(16, 4, 64, 20.0, INTERVAL), all(16));
-    assert_eq!(draw::telling(SAMPLE, 12, 144, 8.0, INTERVAL), all(SAMPLE));
-    let large = draw::telling(SAMPLE, 10, 384, 6.0, INTERVAL);
-    assert_eq!(large, Telling { ranks: SAMPLE, draws: Some(148) });
+    let all = |ranks| ReportPlan { ranks, draws: None };
+    assert_eq!(draw::report_plan(16, 4, 64, 20.0, INTERVAL), all(16));
+    assert_eq!(draw::report_plan(SAMPLE, 12, 144, 8.0, INTERVAL), all(SAMPLE));
+    let large = draw::report_plan(SAMPLE, 10, 384, 6.0, INTERVAL);
+    assert_eq!(large, ReportPlan { ranks: SAMPLE, draws: Some(148) });
 }
 
 #[test]
