--- a/crates/sablepass-agent/src/ranks/tally.rs
+++ b/crates/sablepass-agent/src/ranks/tally.rs
@@ -58,7 +58,7 @@
     /// How the planner has the ranks tell their counts.
     fn report_plan(&self) -> ReportPlan {
         let (layers, experts) = self.layers_experts();
-        draw::report_plan(demand::SAMPLE, layers, experts, self.link, COUNTS_EVERY)
+        draw::report_plan(demand::MAX_SAMPLED_RANKS, layers, experts, self.link, COUNTS_EVERY)
     }
 
     /// The ranks whose counts the planner asks for.
--- a/crates/sablepass-core/src/expert/demand.rs
+++ b/crates/sablepass-core/src/expert/demand.rs
@@ -16,7 +16,7 @@
 const KEEP: usize = 64;
 /// Most ranks that tell their counts. All of a group of 72 told theirs, of 12
 /// layers and 144 experts, and filled the planner's link of 8 Mbit/s.
-pub const SAMPLE: usize = 24;
+pub const MAX_SAMPLED_RANKS: usize = 24;
 
 /// The ranks that are to tell their counts: those in the planner's hall first,
 /// since bytes between halls are dear, then by number. `near` tells of each
@@ -121,7 +121,7 @@
 
 /// How alike two demands of a layer are: the cosine of their angle, 1 for the
 /// same mix.
-pub fn likeness(a: &[f64], b: &[f64]) -> f64 {
+pub fn cosine_similarity(a: &[f64], b: &[f64]) -> f64 {
     let pairs = || a.iter().zip(b);
     let product: f64 = pairs().map(|(x, y)| x * y).sum();
     let (x, y): (f64, f64) = pairs().fold((0.0, 0.0), |(sx, sy), (x, y)| (sx + x * x, sy + y * y));
--- a/crates/sablepass-core/src/expert/watch.rs
+++ b/crates/sablepass-core/src/expert/watch.rs
@@ -124,6 +124,6 @@
 /// How far apart two demands are: 0 for the same mix, 1 at most, in the layer
 /// in which they differ most.
 fn distance(a: &[Vec<f64>], b: &[Vec<f64>]) -> f64 {
-    let layers = a.iter().zip(b).map(|(a, b)| 1.0 - demand::likeness(a, b));
+    let layers = a.iter().zip(b).map(|(a, b)| 1.0 - demand::cosine_similarity(a, b));
     layers.fold(0.0, f64::max)
 }
--- a/crates/sablepass-core/tests/demand.rs
+++ b/crates/sablepass-core/tests/demand.rs
@@ -7,18 +7,18 @@
 
 #[test]
 fn verify_sample_takes_all_ranks_of_a_small_group() {
-    assert_eq!(demand::sample(&[true, false, false, true], demand::SAMPLE), vec![true; 4]);
+    assert_eq!(demand::sample(&[true, false, false, true], demand::MAX_SAMPLED_RANKS), vec![true; 4]);
 }
 
 #[test]
 fn verify_sample_of_a_large_group_is_near_and_bounded() {
     let near: Vec<bool> = (0..72).map(|rank| rank % 3 == 1).collect();
-    let sample = demand::sample(&near, demand::SAMPLE);
+    let sample = demand::sample(&near, demand::MAX_SAMPLED_RANKS);
     assert_eq!(sample, near, "24 ranks are near, which is as many as are asked");
     let few: Vec<bool> = (0..72).map(|rank| rank == 70).collect();
-    let sample = demand::sample(&few, demand::SAMPLE);
+    let sample = demand::sample(&few, demand::MAX_SAMPLED_RANKS);
     assert!(sample[70]);
-    assert_eq!(sample.iter().filter(|it| **it).count(), demand::SAMPLE);
+    assert_eq!(sample.iter().filter(|it| **it).count(), demand::MAX_SAMPLED_RANKS);
 }
 
 #[test]
--- a/crates/sablepass-core/tests/draw.rs
+++ b/crates/sablepass-core/tests/draw.rs
@@ -7,7 +7,7 @@
 use quickcheck::QuickCheck;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sablepass_core::expert::demand::{SAMPLE, likeness};
+use sablepass_core::expert::demand::{MAX_SAMPLED_RANKS, cosine_similarity};
 use sablepass_core::expert::draw::{self, Error, Layer, ReportPlan};
 
 /// Milliseconds between two tellings.
@@ -64,9 +64,9 @@
 fn verify_small_groups_tell_all_counts() {
     let all = |ranks| ReportPlan { ranks, draws: None };
     assert_eq!(draw::report_plan(16, 4, 64, 20.0, INTERVAL), all(16));
-    assert_eq!(draw::report_plan(SAMPLE, 12, 144, 8.0, INTERVAL), all(SAMPLE));
-    let large = draw::report_plan(SAMPLE, 10, 384, 6.0, INTERVAL);
-    assert_eq!(large, ReportPlan { ranks: SAMPLE, draws: Some(148) });
+    assert_eq!(draw::report_plan(MAX_SAMPLED_RANKS, 12, 144, 8.0, INTERVAL), all(MAX_SAMPLED_RANKS));
+    let large = draw::report_plan(MAX_SAMPLED_RANKS, 10, 384, 6.0, INTERVAL);
+    assert_eq!(large, ReportPlan { ranks: MAX_SAMPLED_RANKS, draws: Some(148) });
 }
 
 #[test]
@@ -84,7 +84,7 @@
             layer.counts(experts).expect("known experts")
         };
         let many = sum((0..24).map(|_| drawn()).collect());
-        let (few, many) = (likeness(&few, &mix), likeness(&many, &mix));
+        let (few, many) = (cosine_similarity(&few, &mix), cosine_similarity(&many, &mix));
         assert!(many > few, "seed {seed}: {many} and {few}");
     }
 }
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -240,7 +240,7 @@
     // of which chooses 48 experts of a layer: 18 of one expert in a tally.
     let with_counts = tally(vec![18; CHOICES]);
     let without = tally(Vec::new());
-    let asked = demand::SAMPLE - 1;
+    let asked = demand::MAX_SAMPLED_RANKS - 1;
     let second = TALLIES * (asked * with_counts + (RANKS - 1 - asked) * without);
     assert!(second * 2 < LINK, "{second} bytes a second");
 }
