--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -143,7 +143,7 @@
             member: None,
             map: None,
             maps: BTreeMap::new(),
-            estimate: Estimate::open(drift::Options::default(), shape.layers, shape.experts),
+            estimate: Estimate::new(drift::Options::default(), shape.layers, shape.experts),
             links: HashMap::new(),
             pace: 0.0,
             seen: None,
@@ -433,7 +433,7 @@
     pub fn explain(&self) -> serde_json::Value {
         let register = self.member.as_ref().map(|it| *it.register());
         let skews = match &self.map {
-            Some(map) if self.estimate.is_open() => map.skews(&self.estimate.tokens()),
+            Some(map) if self.estimate.has_counts() => map.skews(&self.estimate.tokens()),
             _ => Vec::new(),
         };
         let mean = skews.iter().sum::<f64>() / skews.len().max(1) as f64;
--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -314,7 +314,7 @@
         self.lists = None;
         let bounds = self.bounds.as_ref();
         self.demand = bounds
-            .map(|it| Demand::open(group.size.into(), it.layers as usize, it.experts as usize));
+            .map(|it| Demand::new(group.size.into(), it.layers as usize, it.experts as usize));
     }
 
     fn measure(&mut self, now: Millis, step: u64) {
@@ -380,14 +380,14 @@
         if group.rank == 0 {
             if let (Some(demand), Some(chosen)) = (&mut self.demand, self.counts.advance(it.counts))
             {
-                demand.told(now, 0, &chosen);
+                demand.record(now, 0, &chosen);
             }
             return Vec::new();
         }
         let Some(planner) = self.ranks.get(&0).map(|it| it.peer) else { return Vec::new() };
         if self.told != Some(planner) {
             self.told = Some(planner);
-            self.counts.restart();
+            self.counts.reset();
         }
         let chosen = self.counts.advance(it.counts).unwrap_or_default();
         let tally = match chosen.is_empty() {
@@ -434,7 +434,7 @@
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0 && it.open);
         if planner {
             if let Some(demand) = &mut self.demand {
-                demand.mark(now);
+                demand.snapshot(now);
             }
             list.extend(self.try_switch(now));
             list.extend(self.plan(now));
--- a/crates/sablepass-agent/src/ranks/tally.rs
+++ b/crates/sablepass-agent/src/ranks/tally.rs
@@ -178,7 +178,7 @@
         let Some(demand) = &mut self.demand else { return };
         let fits = match told {
             Ok(None) => true,
-            Ok(Some(counts)) => demand.told(now, rank.into(), &counts),
+            Ok(Some(counts)) => demand.record(now, rank.into(), &counts),
             Err(_) => false,
         };
         if !fits {
--- a/crates/sablepass-core/src/expert/demand.rs
+++ b/crates/sablepass-core/src/expert/demand.rs
@@ -50,7 +50,7 @@
     }
 
     /// Begins anew, for another receiver.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         self.last.clear();
     }
 }
@@ -68,7 +68,7 @@
 
 impl Demand {
     /// Opens an empty one.
-    pub fn open(ranks: usize, layers: usize, experts: usize) -> Self {
+    pub fn new(ranks: usize, layers: usize, experts: usize) -> Self {
         Self {
             layers,
             experts,
@@ -80,7 +80,7 @@
 
     /// Takes what a rank's requests chose since it last told, layer by layer.
     /// False if their number does not fit.
-    pub fn told(&mut self, now: Millis, rank: usize, increments: &[u64]) -> bool {
+    pub fn record(&mut self, now: Millis, rank: usize, increments: &[u64]) -> bool {
         if rank >= self.told.len() || increments.len() != self.layers * self.experts {
             return false;
         }
@@ -100,7 +100,7 @@
     }
 
     /// Remembers the sum of all ranks as it is now.
-    pub fn mark(&mut self, now: Millis) {
+    pub fn snapshot(&mut self, now: Millis) {
         self.history.push_back((now, self.total.clone()));
         if self.history.len() > KEEP {
             self.history.pop_front();
--- a/crates/sablepass-core/src/expert/drift.rs
+++ b/crates/sablepass-core/src/expert/drift.rs
@@ -45,7 +45,7 @@
 
 impl Estimate {
     /// Opens an estimate that knows nothing.
-    pub fn open(options: Options, layers: usize, experts: usize) -> Self {
+    pub fn new(options: Options, layers: usize, experts: usize) -> Self {
         Self { options, experts, cells: vec![Average::default(); layers * experts], step: None }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Whether counts have come.
-    pub fn is_open(&self) -> bool {
+    pub fn has_counts(&self) -> bool {
         self.step.is_some()
     }
 
--- a/crates/sablepass-core/src/expert/place.rs
+++ b/crates/sablepass-core/src/expert/place.rs
@@ -174,7 +174,7 @@
 /// The best small step for a layer's slowest rank, by potential gained for
 /// each loading of weights; none if nothing helps.
 pub fn best_change(layer: &Layer, tokens: &[f64], paces: &Paces) -> Option<Change> {
-    Steps::open(layer.clone(), tokens, paces).best(|_, _| true)
+    Steps::new(layer.clone(), tokens, paces).best(|_, _| true)
 }
 
 /// The lightest ranks beside the worst one, those first. A group of 192 ranks
@@ -229,7 +229,7 @@
 
 impl<'a> Steps<'a> {
     /// Begins at a layer.
-    pub fn open(layer: Layer, tokens: &'a [f64], paces: &'a Paces) -> Self {
+    pub fn new(layer: Layer, tokens: &'a [f64], paces: &'a Paces) -> Self {
         let loads = layer.rank_loads(tokens);
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
         let mut holders = vec![Vec::new(); layer.experts()];
--- a/crates/sablepass-core/src/expert/plan.rs
+++ b/crates/sablepass-core/src/expert/plan.rs
@@ -130,7 +130,7 @@
 /// whole layers taken instead, the first ones would use up the budget on
 /// their last, least useful steps.
 pub fn decide(options: &Options, map: &Map, estimate: &Estimate) -> Decision {
-    if !estimate.is_open() {
+    if !estimate.has_counts() {
         return Decision::Keep(Reason::NoCounts);
     }
     let tokens = estimate.tokens();
--- a/crates/sablepass-core/src/expert/rebalance.rs
+++ b/crates/sablepass-core/src/expert/rebalance.rs
@@ -180,7 +180,7 @@
 fn search(options: &Options, map: &Map, demand: &[Vec<f64>], paces: &Paces) -> Vec<Point> {
     let start = Point { map: map.clone(), lag: mean_lag(map, demand, paces), copies: 0 };
     let mut points = vec![start];
-    let mut search = Search::open(options, map, demand, paces);
+    let mut search = Search::new(options, map, demand, paces);
     let most = options.spare * map.layers.len();
     for copies in COPIES.into_iter().take_while(|it| *it <= most) {
         search.spread(copies);
@@ -207,7 +207,7 @@
 }
 
 impl<'a> Search<'a> {
-    fn open(
+    fn new(
         options: &'a Options,
         start: &'a Map,
         demand: &'a [Vec<f64>],
@@ -216,7 +216,7 @@
         let new = vec![0; start.shape.ranks];
         let here = vec![new.clone(); start.layers.len()];
         let layers = start.layers.iter().zip(demand);
-        let layers = layers.map(|(layer, it)| Steps::open(layer.clone(), it, paces)).collect();
+        let layers = layers.map(|(layer, it)| Steps::new(layer.clone(), it, paces)).collect();
         Self { options, start, layers, here, new }
     }
 
--- a/crates/sablepass-core/tests/demand.rs
+++ b/crates/sablepass-core/tests/demand.rs
@@ -28,31 +28,31 @@
     assert_eq!(counts.advance(vec![6, 7]), Some(vec![1, 0]));
     assert_eq!(counts.advance(vec![2, 1]), None, "the replica started anew");
     assert_eq!(counts.advance(vec![2, 4]), Some(vec![0, 3]));
-    counts.restart();
+    counts.reset();
     assert_eq!(counts.advance(vec![9, 9]), None, "another receiver");
 }
 
 #[test]
 fn verify_demand_needs_the_sampled_ranks_only() {
-    let mut demand = Demand::open(3, 1, 2);
+    let mut demand = Demand::new(3, 1, 2);
     let sampled = [true, false, true];
-    assert!(demand.told(100, 0, &[4, 0]));
+    assert!(demand.record(100, 0, &[4, 0]));
     assert_eq!(demand.age(100, &sampled), None, "a sampled rank told nothing");
-    assert!(demand.told(150, 2, &[0, 1]));
+    assert!(demand.record(150, 2, &[0, 1]));
     assert_eq!(demand.age(160, &sampled), Some(60));
-    assert!(!demand.told(160, 2, &[1]), "counts of another shape");
-    assert!(!demand.told(160, 3, &[1, 1]), "a rank that there is not");
+    assert!(!demand.record(160, 2, &[1]), "counts of another shape");
+    assert!(!demand.record(160, 3, &[1, 1]), "a rank that there is not");
 }
 
 #[test]
 fn verify_demand_is_what_was_chosen_lately() {
-    let mut demand = Demand::open(2, 1, 2);
-    demand.mark(0);
-    demand.told(10, 0, &[100, 0]);
-    demand.mark(100);
-    demand.told(110, 0, &[1, 2]);
-    demand.told(120, 1, &[0, 5]);
-    demand.mark(200);
+    let mut demand = Demand::new(2, 1, 2);
+    demand.snapshot(0);
+    demand.record(10, 0, &[100, 0]);
+    demand.snapshot(100);
+    demand.record(110, 0, &[1, 2]);
+    demand.record(120, 1, &[0, 5]);
+    demand.snapshot(200);
     assert_eq!(demand.recent(1, 0), Some(vec![vec![1.0, 7.0]]));
     assert_eq!(demand.recent(1, 1), Some(vec![vec![100.0, 0.0]]));
     assert_eq!(demand.recent(2, 1), None, "not remembered");
--- a/crates/sablepass-core/tests/expert.rs
+++ b/crates/sablepass-core/tests/expert.rs
@@ -23,7 +23,7 @@
 
 /// An estimate that has seen the same counts for long.
 fn settled(shape: Shape, tokens: &[Vec<f64>]) -> Estimate {
-    let mut estimate = Estimate::open(drift::Options::default(), shape.layers, shape.experts);
+    let mut estimate = Estimate::new(drift::Options::default(), shape.layers, shape.experts);
     for step in 1..100 {
         estimate.observe(step * 100, tokens);
     }
@@ -143,14 +143,14 @@
 #[test]
 fn verify_nothing_known_nothing_done() {
     let map = Map::even(SHAPE).expect("built");
-    let estimate = Estimate::open(drift::Options::default(), SHAPE.layers, SHAPE.experts);
+    let estimate = Estimate::new(drift::Options::default(), SHAPE.layers, SHAPE.experts);
     let decision = plan::decide(&Options::default(), &map, &estimate);
     assert_eq!(decision, Decision::Keep(Reason::NoCounts));
 }
 
 #[test]
 fn verify_late_counts_are_ignored() {
-    let mut estimate = Estimate::open(drift::Options::default(), 1, 2);
+    let mut estimate = Estimate::new(drift::Options::default(), 1, 2);
     assert!(estimate.observe(100, &[vec![1.0, 1.0]]));
     assert!(!estimate.observe(100, &[vec![9.0, 1.0]]));
     assert!(!estimate.observe(50, &[vec![9.0, 1.0]]));
@@ -160,7 +160,7 @@
 #[test]
 fn verify_estimate_follows_a_wave_and_not_noise() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut estimate = Estimate::open(drift::Options::default(), 1, 1);
+    let mut estimate = Estimate::new(drift::Options::default(), 1, 1);
     let mut noisy = |base: f64| vec![vec![base + rng.random_range(-20.0..20.0)]];
     for step in 1..600 {
         estimate.observe(step * 10, &noisy(100.0));
--- a/crates/sablepass-load/src/capacity.rs
+++ b/crates/sablepass-load/src/capacity.rs
@@ -274,7 +274,7 @@
     };
     let counts = counts();
     let before = memory();
-    let mut estimate = Estimate::open(drift::Options::default(), layers, shape.experts);
+    let mut estimate = Estimate::new(drift::Options::default(), layers, shape.experts);
     (1..50).for_each(|step| {
         estimate.observe(step * 100, &counts);
     });
--- a/crates/sablepass-load/src/experts.rs
+++ b/crates/sablepass-load/src/experts.rs
@@ -281,7 +281,7 @@
         policy,
         name,
         map: map.clone(),
-        estimate: Estimate::open(estimate::Options::default(), shape.layers, shape.experts),
+        estimate: Estimate::new(estimate::Options::default(), shape.layers, shape.experts),
         loading: None,
         skews: Vec::new(),
         moves: 0,
