--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -17,7 +17,7 @@
 use sablepass_core::expert::demand::{self, Demand};
 use sablepass_core::expert::foresight::Foresight;
 use sablepass_core::expert::map::{Bounds, Map};
-use sablepass_core::expert::rebalance::{self, Rest};
+use sablepass_core::expert::rebalance::{self, SearchBackoff};
 use sablepass_core::expert::watch::Watch;
 use sablepass_core::id::Millis;
 use sablepass_core::reason::Ignored;
@@ -139,7 +139,7 @@
     unanswered: Option<Millis>,
     proposed: Option<Proposed>,
     /// After a search that found no better map.
-    rest: Option<Rest>,
+    rest: Option<SearchBackoff>,
     /// Highest version known to be used up.
     highest: u64,
     /// What keeps the planner from planning, since when, and whether that was said.
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -7,7 +7,7 @@
 use sablepass_core::expert::barrier::{Member, Plan};
 use sablepass_core::expert::difference;
 use sablepass_core::expert::map::{Bounds, Paces};
-use sablepass_core::expert::rebalance::{self, Rest};
+use sablepass_core::expert::rebalance::{self, SearchBackoff};
 use sablepass_core::id::Millis;
 use sablepass_edge::clock;
 use sablepass_wire::generated as wire;
@@ -249,7 +249,7 @@
         let map = self.map_in_force()?;
         let change = rebalance::decide(&options, map, self.watch.demand()?, &self.paces());
         if change.is_none() {
-            self.rest = self.lag.map(|lag| Rest::begin(now, clock::now(), lag));
+            self.rest = self.lag.map(|lag| SearchBackoff::start(now, clock::now(), lag));
         }
         change
     }
@@ -257,7 +257,7 @@
     /// Whether a search just now found nothing, and nothing speaks for another.
     fn rests(&self, now: Millis) -> bool {
         let rest = self.rest.as_ref().zip(self.lag);
-        rest.is_some_and(|(rest, lag)| rest.lasts(now, lag))
+        rest.is_some_and(|(rest, lag)| rest.is_active(now, lag))
     }
 
     /// Compares the map in force with what was worked out for it.
--- a/crates/sablepass-core/src/expert/rebalance.rs
+++ b/crates/sablepass-core/src/expert/rebalance.rs
@@ -75,27 +75,27 @@
 
 /// How many times as long as a search that found nothing took the next one waits:
 /// searches then take an eleventh of the processor.
-const REST_TIMES: Millis = 10;
+const BACKOFF_FACTOR: Millis = 10;
 /// How many times as uneven the map must have become for a rest to end sooner, so
 /// that a shift which was not seen as one is answered.
 const MORE_UNEVEN: f64 = 1.08;
 
 /// The time after a search that found no better map, in which none is made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rest {
+pub struct SearchBackoff {
     until: Millis,
     /// Lag of the map in force at that search.
     lag: f64,
 }
 
-impl Rest {
+impl SearchBackoff {
     /// Begins after a search from `began` to `ended`, under a map of this lag.
-    pub fn begin(began: Millis, ended: Millis, lag: f64) -> Self {
-        Self { until: ended + ended.saturating_sub(began) * REST_TIMES, lag }
+    pub fn start(started: Millis, ended: Millis, lag: f64) -> Self {
+        Self { until: ended + ended.saturating_sub(started) * BACKOFF_FACTOR, lag }
     }
 
     /// Whether it lasts, while the map in force has this lag by now.
-    pub fn lasts(&self, now: Millis, lag: f64) -> bool {
+    pub fn is_active(&self, now: Millis, lag: f64) -> bool {
         now < self.until && lag < self.lag * MORE_UNEVEN
     }
 }
--- a/crates/sablepass-core/tests/rebalance.rs
+++ b/crates/sablepass-core/tests/rebalance.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::expert::map::{Expert, Map, Paces, Rank, Shape};
-use sablepass_core::expert::rebalance::{self, Change, Options, Rest};
+use sablepass_core::expert::rebalance::{self, Change, Options, SearchBackoff};
 use sablepass_core::expert::watch::Watch;
 
 const SHAPE: Shape = Shape { ranks: 12, layers: 3, experts: 96, slots: 11 };
@@ -184,9 +184,9 @@
 
 #[test]
 fn verify_a_rest_after_a_search_ends_when_the_map_becomes_less_even() {
-    let rest = Rest::begin(1_000, 1_150, 1.4);
-    assert!(rest.lasts(1_200, 1.4) && rest.lasts(2_649, 1.5));
-    assert!(!rest.lasts(2_650, 1.4), "it is over");
-    assert!(!rest.lasts(1_200, 1.52), "a shift that was not seen");
-    assert!(!Rest::begin(1_000, 1_000, 1.4).lasts(1_000, 1.4), "a quick search needs none");
+    let backoff = SearchBackoff::start(1_000, 1_150, 1.4);
+    assert!(backoff.is_active(1_200, 1.4) && backoff.is_active(2_649, 1.5));
+    assert!(!backoff.is_active(2_650, 1.4), "it is over");
+    assert!(!backoff.is_active(1_200, 1.52), "a shift that was not seen");
+    assert!(!SearchBackoff::start(1_000, 1_000, 1.4).is_active(1_000, 1.4), "a quick search needs none");
 }
