--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -240,9 +240,9 @@
         let bounds = self.bounds.as_ref()?;
         let options = rebalance::Options {
             spare: bounds.spare as usize,
-            copy: f64::from(bounds.copy) / MICROS,
-            part: self.expert_part(bounds),
-            life: self.watch.life(now),
+            copy_ms: f64::from(bounds.copy) / MICROS,
+            expert_share: self.expert_part(bounds),
+            demand_ms: self.watch.life(now),
             optimism: self.foresight.optimism(),
             ..rebalance::Options::default()
         };
--- a/crates/sablepass-core/src/expert/rebalance.rs
+++ b/crates/sablepass-core/src/expert/rebalance.rs
@@ -33,42 +33,42 @@
     /// New experts that one preparation may bring to a rank in a layer.
     pub spare: usize,
     /// Milliseconds that a rank takes to copy one expert.
-    pub copy: f64,
+    pub copy_ms: f64,
     /// Part by which passes take longer while experts are copied. Default
     /// 0.15, as declared by the users' platform.
     pub slowdown: f64,
     /// Milliseconds of a change beside copying. Default 300: orders, votes and
     /// the passes up to the step of the switch.
-    pub change: f64,
+    pub switch_ms: f64,
     /// Milliseconds that the demand is expected to last.
-    pub life: f64,
+    pub demand_ms: f64,
     /// Part of a pass on an even map that experts' work makes up: the rest is as
     /// long on any map. Default 0.5.
-    pub part: f64,
+    pub expert_share: f64,
     /// Milliseconds of passes that a change must save at least. Default 350: a
     /// shift that comes while experts are copied meets passes that are longer by
     /// the slowdown, and at 150 a third of the maps saved less than that costs.
-    pub least_saved: f64,
+    pub min_saved_ms: f64,
     /// How many times as uneven as worked out a new map turns out. Default 1: as
     /// worked out.
     pub optimism: f64,
     /// Choices in the demand below which it is not believed. Default 2,000:
     /// some ten for each expert of a layer.
-    pub least_counts: f64,
+    pub min_choices: f64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             spare: 2,
-            copy: 40.0,
+            copy_ms: 40.0,
             slowdown: 0.15,
-            change: 300.0,
-            life: 10_000.0,
-            part: 0.5,
-            least_saved: 350.0,
+            switch_ms: 300.0,
+            demand_ms: 10_000.0,
+            expert_share: 0.5,
+            min_saved_ms: 350.0,
             optimism: 1.0,
-            least_counts: 2_000.0,
+            min_choices: 2_000.0,
         }
     }
 }
@@ -134,14 +134,14 @@
 /// A better map, if there is one that is worth the change.
 pub fn decide(options: &Options, map: &Map, demand: &[Vec<f64>], paces: &Paces) -> Option<Change> {
     let counts: f64 = demand.iter().flatten().sum();
-    if counts < options.least_counts {
+    if counts < options.min_choices {
         return None;
     }
     let mut points = search(options, map, demand, paces);
     let way = Way { options, points: &points };
-    let (first, spent) = way.best(0, options.life);
-    let saved = way.pass(0) * options.life - spent;
-    let first = first.filter(|_| saved >= options.least_saved)?;
+    let (first, spent) = way.best(0, options.demand_ms);
+    let saved = way.pass(0) * options.demand_ms - spent;
+    let first = first.filter(|_| saved >= options.min_saved_ms)?;
     let before = points[0].lag;
     let Point { map: new, lag: after, copies } = points.swap_remove(first);
     let moves = new.moves_from(map);
@@ -189,7 +189,7 @@
         if points.last().is_none_or(|it| lag < it.lag) {
             points.push(Point { map, lag, copies });
         }
-        if copies as f64 * options.copy >= options.life {
+        if copies as f64 * options.copy_ms >= options.demand_ms {
             break;
         }
     }
@@ -282,7 +282,7 @@
     /// Time of a pass at a point, relative to one on an even map.
     fn pass(&self, at: usize) -> f64 {
         let times = if at > 0 { self.options.optimism } else { 1.0 };
-        1.0 - self.options.part + self.options.part * self.points[at].lag * times
+        1.0 - self.options.expert_share + self.options.expert_share * self.points[at].lag * times
     }
 
     /// The next point on the best way from one of them, none if that is to
@@ -291,8 +291,8 @@
         let mut best = (None, self.pass(at) * left);
         for next in at + 1..self.points.len() {
             let copies = self.points[next].copies.saturating_sub(self.points[at].copies);
-            let copying = copies as f64 * self.options.copy;
-            let time = copying + self.options.change;
+            let copying = copies as f64 * self.options.copy_ms;
+            let time = copying + self.options.switch_ms;
             if time >= left {
                 continue;
             }
--- a/crates/sablepass-core/tests/foresight.rs
+++ b/crates/sablepass-core/tests/foresight.rs
@@ -61,7 +61,7 @@
         }
         let optimism = if learns { foresight.optimism() } else { 1.0 };
         let options =
-            Options { copy: 3.0, life: 4_000.0, part: 0.8, optimism, ..Options::default() };
+            Options { copy_ms: 3.0, demand_ms: 4_000.0, expert_share: 0.8, optimism, ..Options::default() };
         let demand = watch.demand().expect("counted");
         // A change takes three intervals to come into force.
         let due = at % 3 == 0;
--- a/crates/sablepass-core/tests/rebalance.rs
+++ b/crates/sablepass-core/tests/rebalance.rs
@@ -54,8 +54,8 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let demand = scaled(&mix(&mut rng));
         let map = Map::even(SHAPE).expect("built");
-        let copies = |copy, life| {
-            let options = Options { spare: 4, copy, life, ..Options::default() };
+        let copies = |copy_ms, demand_ms| {
+            let options = Options { spare: 4, copy_ms, demand_ms, ..Options::default() };
             let change = decide(&options, &map, &demand).expect("worth it");
             assert_eq!(Map::parse(SHAPE, &change.map.encode()).as_ref(), Ok(&change.map));
             assert!(change.after < change.before);
@@ -71,9 +71,9 @@
     let mut rng = StdRng::seed_from_u64(1);
     let demand = scaled(&mix(&mut rng));
     let map = Map::even(SHAPE).expect("built");
-    let options = Options { spare: 4, copy: 4_000.0, life: 3_500.0, ..Options::default() };
+    let options = Options { spare: 4, copy_ms: 4_000.0, demand_ms: 3_500.0, ..Options::default() };
     assert_eq!(decide(&options, &map, &demand), None);
-    let options = Options { life: 60_000.0, ..options };
+    let options = Options { demand_ms: 60_000.0, ..options };
     assert!(decide(&options, &map, &demand).is_some(), "a demand that lasts is worth it");
 }
 
@@ -83,7 +83,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let demand = scaled(&mix(&mut rng));
         let mut map = Map::even(SHAPE).expect("built");
-        let options = Options { spare: 2, copy: 40.0, ..Options::default() };
+        let options = Options { spare: 2, copy_ms: 40.0, ..Options::default() };
         let mut changes = 0;
         while let Some(change) = decide(&options, &map, &demand) {
             for (new, old) in change.map.layers.iter().zip(&map.layers) {
