--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -173,8 +173,8 @@
         let old = self.map_in_force().filter(|_| self.running < IDLE)?;
         let map = rebalance::fill(spare, old)?;
         let lag = self.lag.unwrap_or(1.0);
-        let (moves, copies) = (map.moves_from(old), spare * old.layers.len());
-        Some(rebalance::Change { map, before: lag, after: lag, moves, copies, saved: 0.0 })
+        let (moves, max_copies) = (map.moves_from(old), spare * old.layers.len());
+        Some(rebalance::Change { map, lag_before: lag, lag_after: lag, moves, max_copies, saved_ms: 0.0 })
     }
 
     /// Why the map that is proposed can no longer be of use, if so.
@@ -305,8 +305,8 @@
         let Some(group) = &self.group else { return Vec::new() };
         let version = self.highest.max(group.reading.version) + 1;
         slog::info!(self.log, "map proposed"; "version" => version, "epoch" => group.reading.epoch,
-            "skew" => change.before, "expected" => change.after, "moves" => change.moves,
-            "copies" => change.copies, "saved" => change.saved, "cause" => cause.label(),
+            "skew" => change.lag_before, "expected" => change.lag_after, "moves" => change.moves,
+            "copies" => change.max_copies, "saved" => change.saved_ms, "cause" => cause.label(),
             "running" => self.running, "paces" => ?self.paces());
         self.metrics.expert_copies.with_label_values(&[cause.label()]).inc_by(change.moves as u64);
         let Some(old) = &self.base else { return Vec::new() };
@@ -320,9 +320,9 @@
             digest: change.map.digest(),
         };
         let copying = self.bounds.map_or(0.0, |it| f64::from(it.copy) / MICROS);
-        let copying = copying * change.copies as f64 * PREPARE_TIMES;
+        let copying = copying * change.max_copies as f64 * PREPARE_TIMES;
         let until = now + copying as Millis + PREPARE_MORE;
-        self.proposed = Some(Proposed { version, until, switching: false, lag: change.after });
+        self.proposed = Some(Proposed { version, until, switching: false, lag: change.lag_after });
         let mut list = self.pass_on(&proposal);
         list.extend(self.prepare(version, change.map.clone()));
         list
--- a/crates/sablepass-core/src/expert/rebalance.rs
+++ b/crates/sablepass-core/src/expert/rebalance.rs
@@ -106,15 +106,15 @@
     /// The map.
     pub map: Map,
     /// Mean skew of the layers before.
-    pub before: f64,
+    pub lag_before: f64,
     /// The same after.
-    pub after: f64,
+    pub lag_after: f64,
     /// Experts that ranks have to load.
     pub moves: usize,
     /// New experts at the rank that gets most.
-    pub copies: usize,
+    pub max_copies: usize,
     /// Milliseconds of passes saved while the demand lasts.
-    pub saved: f64,
+    pub saved_ms: f64,
 }
 
 /// A map that the search came by.
@@ -140,12 +140,12 @@
     let mut points = search(options, map, demand, paces);
     let way = Way { options, points: &points };
     let (first, spent) = way.best(0, options.demand_ms);
-    let saved = way.pass(0) * options.demand_ms - spent;
-    let first = first.filter(|_| saved >= options.min_saved_ms)?;
-    let before = points[0].lag;
-    let Point { map: new, lag: after, copies } = points.swap_remove(first);
+    let saved_ms = way.pass(0) * options.demand_ms - spent;
+    let first = first.filter(|_| saved_ms >= options.min_saved_ms)?;
+    let lag_before = points[0].lag;
+    let Point { map: new, lag: lag_after, copies: max_copies } = points.swap_remove(first);
     let moves = new.moves_from(map);
-    Some(Change { map: new, before, after, moves, copies, saved })
+    Some(Change { map: new, lag_before, lag_after, moves, max_copies, saved_ms })
 }
 
 /// The map with a second replica of as many experts as empty slots take, as
--- a/crates/sablepass-core/tests/foresight.rs
+++ b/crates/sablepass-core/tests/foresight.rs
@@ -67,7 +67,7 @@
         let due = at % 3 == 0;
         let change = rebalance::decide(&options, &map, demand, &Paces::default());
         if let Some(change) = change.filter(|_| due) {
-            foresight.in_force(now, change.after);
+            foresight.in_force(now, change.lag_after);
             map = change.map;
             steady += usize::from((20..60).contains(&at));
             shifted += usize::from(at >= 60);
--- a/crates/sablepass-core/tests/rebalance.rs
+++ b/crates/sablepass-core/tests/rebalance.rs
@@ -54,15 +54,15 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let demand = scaled(&mix(&mut rng));
         let map = Map::even(SHAPE).expect("built");
-        let copies = |copy_ms, demand_ms| {
+        let max_copies = |copy_ms, demand_ms| {
             let options = Options { spare: 4, copy_ms, demand_ms, ..Options::default() };
             let change = decide(&options, &map, &demand).expect("worth it");
             assert_eq!(Map::parse(SHAPE, &change.map.encode()).as_ref(), Ok(&change.map));
-            assert!(change.after < change.before);
-            change.copies
+            assert!(change.lag_after < change.lag_before);
+            change.max_copies
         };
-        assert_eq!(copies(400.0, 3_500.0), 1, "seed {seed}");
-        assert!(copies(6.0, 3_500.0) >= 3, "seed {seed}");
+        assert_eq!(max_copies(400.0, 3_500.0), 1, "seed {seed}");
+        assert!(max_copies(6.0, 3_500.0) >= 3, "seed {seed}");
     }
 }
 
