--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -39,7 +39,7 @@
                 list.extend(self.prepare(it.version, map));
                 list
             }
-            Err(difference::Error::Other) => {
+            Err(difference::Error::BaseMismatch) => {
                 slog::info!(self.log, "whole map asked for"; "version" => it.version,
                     "base" => it.base);
                 let pull =
@@ -58,7 +58,7 @@
         let known = self.base.as_ref().filter(|base| base.version == it.base);
         let first = || Map::initial(self.map_shape()?).ok().filter(|_| it.base == 0);
         let base = known.map(|it| it.map.clone()).or_else(first);
-        let base = base.ok_or(difference::Error::Other)?;
+        let base = base.ok_or(difference::Error::BaseMismatch)?;
         difference::apply(&base, &it.changes, it.digest)
     }
 
--- a/crates/sablepass-core/src/expert/difference.rs
+++ b/crates/sablepass-core/src/expert/difference.rs
@@ -16,7 +16,7 @@
 pub enum Error {
     /// Slots and experts come in pairs.
     #[snafu(display("{numbers} numbers are no pairs"))]
-    Odd {
+    Unpaired {
         /// Numbers given.
         numbers: usize,
     },
@@ -42,7 +42,7 @@
     },
     /// It starts from another map than the receiver's.
     #[snafu(display("it starts from another map"))]
-    Other,
+    BaseMismatch,
 }
 
 /// The numbers used on the wire, two for each slot with another expert: its
@@ -73,7 +73,7 @@
     let all = |it: &map::Layer| it.slots().map(|at| it.expert(at)).collect::<Vec<_>>();
     let mut layers: Vec<Vec<Option<Expert>>> = old.layers.iter().map(all).collect();
     let (pairs, rest) = numbers.as_chunks::<2>();
-    ensure!(rest.is_empty(), OddSnafu { numbers: numbers.len() });
+    ensure!(rest.is_empty(), UnpairedSnafu { numbers: numbers.len() });
     let mut slot = 0_u64;
     for [distance, expert] in pairs {
         slot += u64::from(*distance);
@@ -83,7 +83,7 @@
     }
     // From another map the same changes mostly lead to what is no map at all.
     let new = Map::build(old.shape, &layers).ok();
-    new.filter(|it| it.digest() == digest).context(OtherSnafu)
+    new.filter(|it| it.digest() == digest).context(BaseMismatchSnafu)
 }
 
 fn parse_expert(number: u32) -> Result<Option<Expert>, Error> {
--- a/crates/sablepass-core/src/expert/map.rs
+++ b/crates/sablepass-core/src/expert/map.rs
@@ -65,7 +65,7 @@
     },
     /// An expert is twice on a rank.
     #[snafu(display("layer {layer}: expert {expert} is twice on rank {rank}"))]
-    Twice {
+    Duplicate {
         /// The layer.
         layer: usize,
         /// The expert.
@@ -100,7 +100,7 @@
                     return Err(Error::Unknown { layer, expert });
                 }
                 if held[..place].contains(&expert) {
-                    return Err(Error::Twice { layer, expert, rank });
+                    return Err(Error::Duplicate { layer, expert, rank });
                 }
                 replicas[usize::from(expert)] += 1;
             }
--- a/crates/sablepass-core/tests/difference.rs
+++ b/crates/sablepass-core/tests/difference.rs
@@ -59,14 +59,14 @@
     let new = change(&old, &mut rng, 50);
     let other = change(&old, &mut rng, 50);
     let numbers = difference::between(&old, &new);
-    assert_eq!(difference::apply(&other, &numbers, new.digest()), Err(Error::Other));
+    assert_eq!(difference::apply(&other, &numbers, new.digest()), Err(Error::BaseMismatch));
     let digest = new.digest();
     let refused = |numbers: &[u32]| difference::apply(&old, numbers, digest).err();
-    assert_eq!(refused(&[1]), Some(Error::Odd { numbers: 1 }));
+    assert_eq!(refused(&[1]), Some(Error::Unpaired { numbers: 1 }));
     assert_eq!(refused(&[5_760, 1]), Some(Error::Slot { slot: 5_760, slots: 5_760 }));
     assert_eq!(refused(&[0, 70_000]), Some(Error::Expert { expert: 70_000 }));
-    assert_eq!(refused(&[0, 385]), Some(Error::Other), "there are 384 experts");
-    assert_eq!(refused(&[]), Some(Error::Other));
+    assert_eq!(refused(&[0, 385]), Some(Error::BaseMismatch), "there are 384 experts");
+    assert_eq!(refused(&[]), Some(Error::BaseMismatch));
 }
 
 #[test]
--- a/crates/sablepass-core/tests/expert.rs
+++ b/crates/sablepass-core/tests/expert.rs
@@ -37,7 +37,7 @@
     let build = |it: [Option<Expert>; 4]| Map::build(shape, &[it.to_vec()]);
     assert!(build([a, b, b, a]).is_ok());
     assert_eq!(build([a, None, None, None]), Err(Error::Missing { layer: 0, expert: 1 }));
-    assert_eq!(build([a, a, b, None]), Err(Error::Twice { layer: 0, expert: 0, rank: 0 }));
+    assert_eq!(build([a, a, b, None]), Err(Error::Duplicate { layer: 0, expert: 0, rank: 0 }));
     assert_eq!(build([a, b, Some(Expert(2)), None]), Err(Error::Unknown { layer: 0, expert: 2 }));
     assert!(matches!(Map::build(shape, &[vec![a, b]]), Err(Error::Size { .. })));
     assert!(matches!(Map::parse(shape, &[0; 3]), Err(Error::Size { .. })));
