--- a/crates/sablepass-core/src/expert/drift.rs
+++ b/crates/sablepass-core/src/expert/drift.rs
@@ -11,16 +11,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Steps of the quick average. Default 150.
-    pub quick: f64,
+    pub fast_steps: f64,
     /// Steps of the slow average. Default 1,500.
-    pub slow: f64,
+    pub slow_steps: f64,
     /// Standard deviations by which the quick average must leave the slow one. Default 4.
-    pub doubt: f64,
+    pub threshold_sigmas: f64,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { quick: 150.0, slow: 1_500.0, doubt: 4.0 }
+        Self { fast_steps: 150.0, slow_steps: 1_500.0, threshold_sigmas: 4.0 }
     }
 }
 
@@ -90,7 +90,7 @@
 
     fn take(&mut self, options: Options, span: f64, count: f64) {
         let weight = |constant: f64| 1.0 - (-span / constant).exp();
-        let (quick, slow) = (weight(options.quick), weight(options.slow));
+        let (quick, slow) = (weight(options.fast_steps), weight(options.slow_steps));
         let off = count - self.quick;
         self.variance += slow * (off * off - self.variance);
         // What averaging leaves of a count's noise, for a weight w: w / (2 - w).
@@ -104,14 +104,14 @@
     }
 
     fn has_left(&self, options: Options) -> bool {
-        (self.quick - self.slow).abs() > options.doubt * self.noise
+        (self.quick - self.slow).abs() > options.threshold_sigmas * self.noise
     }
 
     /// Between the two averages: the slow one while their distance is what
     /// noise explains, and the quick one the more the less it does.
     fn expected(&self, options: Options) -> f64 {
         let gap = self.quick - self.slow;
-        let doubt = (options.doubt * self.noise).max(f64::MIN_POSITIVE);
+        let doubt = (options.threshold_sigmas * self.noise).max(f64::MIN_POSITIVE);
         let belief = (gap / doubt).powi(2).min(1.0);
         self.slow + gap * belief
     }
