--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -423,7 +423,7 @@
             return Decision::Keep(Reason::MemberAway);
         }
         let hour = (now / 3_600_000 % 24) as u8;
-        if plan::is_quiet(self.fixed.quiet, hour) {
+        if plan::in_quiet_hours(self.fixed.quiet, hour) {
             return Decision::Keep(Reason::QuietHours);
         }
         plan::decide(&self.fixed.options, map, &self.estimate)
--- a/crates/sablepass-core/src/expert/plan.rs
+++ b/crates/sablepass-core/src/expert/plan.rs
@@ -30,7 +30,7 @@
     /// Most loadings of weights in one plan. Default 256: the store is rate-limited.
     pub budget: usize,
     /// Gain a layer must promise, in skew, before it is touched. Default 0.02.
-    pub least_gain: f64,
+    pub min_gain: f64,
 }
 
 impl Default for Options {
@@ -41,7 +41,7 @@
             horizon: 3_000.0,
             move_cost: 0.5,
             budget: 256,
-            least_gain: 0.02,
+            min_gain: 0.02,
         }
     }
 }
@@ -96,7 +96,7 @@
 }
 
 /// Whether an hour of the day lies within quiet hours, which may span midnight.
-pub fn is_quiet(hours: Option<[u8; 2]>, hour: u8) -> bool {
+pub fn in_quiet_hours(hours: Option<[u8; 2]>, hour: u8) -> bool {
     match hours {
         None => false,
         Some([from, to]) if from <= to => (from..to).contains(&hour),
@@ -149,7 +149,7 @@
     let (mut moves, mut saved) = (0, 0.0);
     for (index, point) in chosen.iter().enumerate() {
         let Some(point) = point.map(|it| &ways[index][it]) else { continue };
-        if point.gain < options.least_gain {
+        if point.gain < options.min_gain {
             continue;
         }
         moves += point.moves;
--- a/crates/sablepass-core/tests/expert.rs
+++ b/crates/sablepass-core/tests/expert.rs
@@ -118,7 +118,7 @@
         let tokens = random_tokens(&mut rng, SHAPE);
         let map = Map::even(SHAPE).expect("built");
         let free =
-            Options { move_weight: 0.0, least_gain: 0.0, budget: usize::MAX, ..Options::default() };
+            Options { move_weight: 0.0, min_gain: 0.0, budget: usize::MAX, ..Options::default() };
         let decision = plan::decide(&free, &map, &settled(SHAPE, &tokens));
         assert!(matches!(decision, Decision::Change { .. }));
     }
@@ -176,9 +176,9 @@
 
 #[test]
 fn verify_quiet_hours() {
-    let hours: Vec<u8> = (0..24).filter(|it| plan::is_quiet(Some([22, 3]), *it)).collect();
+    let hours: Vec<u8> = (0..24).filter(|it| plan::in_quiet_hours(Some([22, 3]), *it)).collect();
     assert_eq!(hours, [0, 1, 2, 22, 23]);
-    assert!(!plan::is_quiet(None, 5));
+    assert!(!plan::in_quiet_hours(None, 5));
 }
 
 #[test]
--- a/crates/sablepass-load/src/experts.rs
+++ b/crates/sablepass-load/src/experts.rs
@@ -122,7 +122,7 @@
             Self::Rebuild => return place::rebuild(options.shape, &estimate.tokens()).ok(),
             Self::Greedy => plan::Options {
                 budget: usize::MAX,
-                least_gain: 0.0,
+                min_gain: 0.0,
                 ..weighed(Weights { skew: 1.0, moves: 0.0 })
             },
             Self::Weighed(weights) => weighed(weights),
