--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -15,7 +15,7 @@
 
 use sablepass_core::expert::barrier::{Done, Member, Reading};
 use sablepass_core::expert::demand::{self, Demand};
-use sablepass_core::expert::foresight::Foresight;
+use sablepass_core::expert::calibration::LagCalibration;
 use sablepass_core::expert::map::{Bounds, Map};
 use sablepass_core::expert::rebalance::{self, SearchBackoff};
 use sablepass_core::expert::watch::Watch;
@@ -129,7 +129,7 @@
     /// A map that was in force last, if it is known as a whole.
     base: Option<Base>,
     /// How even maps turn out, beside rank 0.
-    foresight: Foresight,
+    calibration: LagCalibration,
     /// Demand has shifted since the map in force came.
     outdated: bool,
     /// The map being prepared at the own rank.
@@ -176,7 +176,7 @@
             demand: None,
             watch: Watch::default(),
             base: None,
-            foresight: Foresight::default(),
+            calibration: LagCalibration::default(),
             outdated: false,
             wanted: None,
             ticks: 0,
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -121,7 +121,7 @@
                 "step" => self.group.as_ref().map(|it| it.reading.step));
             self.rest = None;
             self.outdated = true;
-            self.foresight.shifted();
+            self.calibration.demand_shifted();
         }
         self.weigh();
         self.judge(now);
@@ -243,7 +243,7 @@
             copy_ms: f64::from(bounds.copy) / MICROS,
             expert_share: self.expert_part(bounds),
             demand_ms: self.watch.life(now),
-            optimism: self.foresight.optimism(),
+            optimism: self.calibration.optimism(),
             ..rebalance::Options::default()
         };
         let map = self.map_in_force()?;
@@ -262,11 +262,11 @@
 
     /// Compares the map in force with what was worked out for it.
     fn judge(&mut self, now: Millis) {
-        let Some(lag) = self.lag.filter(|_| self.foresight.is_due(now)) else { return };
-        self.foresight.judge(lag);
+        let Some(lag) = self.lag.filter(|_| self.calibration.is_due(now)) else { return };
+        self.calibration.record_lag(lag);
         slog::info!(self.log, "map judged"; "lag" => lag,
             "version" => self.group.as_ref().map(|it| it.reading.version),
-            "optimism" => self.foresight.optimism());
+            "optimism" => self.calibration.optimism());
     }
 
     /// Works out the lag of the map in force, where all ranks told what they hold.
@@ -341,7 +341,7 @@
         let others = self.ranks.values().filter(ready).count();
         let all = group.reading.prepared == Some(version) && others + 1 == usize::from(group.size);
         if group.reading.version >= version {
-            self.foresight.in_force(now, it.lag);
+            self.calibration.map_applied(now, it.lag);
             self.outdated = false;
             self.proposed = None;
             return Vec::new();
--- a/crates/sablepass-core/src/expert.rs
+++ b/crates/sablepass-core/src/expert.rs
@@ -5,11 +5,11 @@
 //! a new map in the same step.
 
 pub mod barrier;
+pub mod calibration;
 pub mod demand;
 pub mod difference;
 pub mod draw;
 pub mod drift;
-pub mod foresight;
 pub mod map;
 pub mod members;
 pub mod place;
--- a/crates/sablepass-core/src/expert/foresight.rs
+++ b/crates/sablepass-core/src/expert/calibration.rs
@@ -14,7 +14,7 @@
 
 /// Time from when a map comes into force until it is judged: two intervals of the
 /// counts, and less than the time in which the next map can come.
-pub const JUDGED_AFTER: Millis = 200;
+pub const EVALUATION_DELAY: Millis = 200;
 /// Weight of a map in what is expected of the next.
 const WEIGHT: f64 = 0.3;
 /// How much less even than worked out a map is believed to turn out at most.
@@ -22,41 +22,41 @@
 
 /// What is expected of maps, and the one that is to be judged next.
 #[derive(Clone, Copy, Debug)]
-pub struct Foresight {
+pub struct LagCalibration {
     optimism: f64,
     /// When the map in force came, and the lag worked out for it.
     map: Option<(Millis, f64)>,
 }
 
-impl Default for Foresight {
+impl Default for LagCalibration {
     fn default() -> Self {
         Self { optimism: 1.0, map: None }
     }
 }
 
-impl Foresight {
+impl LagCalibration {
     /// How many times as uneven as worked out the next map will turn out.
     pub fn optimism(&self) -> f64 {
         self.optimism
     }
 
     /// A map came into force for which a lag was worked out.
-    pub fn in_force(&mut self, now: Millis, lag: f64) {
+    pub fn map_applied(&mut self, now: Millis, lag: f64) {
         self.map = Some((now, lag));
     }
 
     /// Demand shifted: the map in force was made for another one.
-    pub fn shifted(&mut self) {
+    pub fn demand_shifted(&mut self) {
         self.map = None;
     }
 
     /// Whether it is time to judge the map in force.
     pub fn is_due(&self, now: Millis) -> bool {
-        self.map.is_some_and(|it| now >= it.0 + JUDGED_AFTER)
+        self.map.is_some_and(|it| now >= it.0 + EVALUATION_DELAY)
     }
 
     /// Takes the lag of the map in force under what is in demand by now.
-    pub fn judge(&mut self, lag: f64) {
+    pub fn record_lag(&mut self, lag: f64) {
         let Some((_, expected)) = self.map.take() else { return };
         let seen = (lag / expected.max(1.0)).clamp(1.0, MOST);
         self.optimism += WEIGHT * (seen - self.optimism);
--- a/crates/sablepass-core/tests/foresight.rs
+++ b/crates/sablepass-core/tests/foresight.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sablepass_core::expert::foresight::{Foresight, JUDGED_AFTER};
+use sablepass_core::expert::calibration::{EVALUATION_DELAY, LagCalibration};
 use sablepass_core::expert::map::{Map, Paces, Shape};
 use sablepass_core::expert::rebalance::{self, Options};
 use sablepass_core::expert::watch::Watch;
@@ -44,7 +44,7 @@
 fn changes(seed: u64, learns: bool) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut map = Map::initial(SHAPE).expect("built");
-    let (mut watch, mut foresight) = (Watch::default(), Foresight::default());
+    let (mut watch, mut calibration) = (Watch::default(), LagCalibration::default());
     let (mut steady, mut shifted) = (0, 0);
     let mut mix = popularity(&mut rng);
     for at in 0..70 {
@@ -53,13 +53,13 @@
         }
         let now = at * INTERVAL;
         if watch.take(now, interval(&mut rng, &mix)) {
-            foresight.shifted();
+            calibration.demand_shifted();
         }
-        if foresight.is_due(now) {
+        if calibration.is_due(now) {
             let demand = watch.demand().expect("counted");
-            foresight.judge(rebalance::mean_lag(&map, demand, &Paces::default()));
+            calibration.record_lag(rebalance::mean_lag(&map, demand, &Paces::default()));
         }
-        let optimism = if learns { foresight.optimism() } else { 1.0 };
+        let optimism = if learns { calibration.optimism() } else { 1.0 };
         let options =
             Options { copy_ms: 3.0, demand_ms: 4_000.0, expert_share: 0.8, optimism, ..Options::default() };
         let demand = watch.demand().expect("counted");
@@ -67,7 +67,7 @@
         let due = at % 3 == 0;
         let change = rebalance::decide(&options, &map, demand, &Paces::default());
         if let Some(change) = change.filter(|_| due) {
-            foresight.in_force(now, change.lag_after);
+            calibration.map_applied(now, change.lag_after);
             map = change.map;
             steady += usize::from((20..60).contains(&at));
             shifted += usize::from(at >= 60);
@@ -89,17 +89,17 @@
 
 #[test]
 fn verify_foresight_follows_what_maps_turn_out_to_be() {
-    let mut foresight = Foresight::default();
-    assert!(!foresight.is_due(10_000), "no map is in force");
+    let mut calibration = LagCalibration::default();
+    assert!(!calibration.is_due(10_000), "no map is in force");
     for at in 0..20 {
-        foresight.in_force(at * 1_000, 1.1);
-        assert!(!foresight.is_due(at * 1_000 + JUDGED_AFTER - 1));
-        assert!(foresight.is_due(at * 1_000 + JUDGED_AFTER));
-        foresight.judge(1.1 * 1.4);
+        calibration.map_applied(at * 1_000, 1.1);
+        assert!(!calibration.is_due(at * 1_000 + EVALUATION_DELAY - 1));
+        assert!(calibration.is_due(at * 1_000 + EVALUATION_DELAY));
+        calibration.record_lag(1.1 * 1.4);
     }
-    assert!((foresight.optimism() - 1.4).abs() < 0.01, "{}", foresight.optimism());
-    foresight.in_force(0, 1.1);
-    foresight.shifted();
-    foresight.judge(9.0);
-    assert!(foresight.optimism() < 1.41, "made for another demand");
+    assert!((calibration.optimism() - 1.4).abs() < 0.01, "{}", calibration.optimism());
+    calibration.map_applied(0, 1.1);
+    calibration.demand_shifted();
+    calibration.record_lag(9.0);
+    assert!(calibration.optimism() < 1.41, "made for another demand");
 }
