--- a/crates/sablepass-core/src/expert.rs
+++ b/crates/sablepass-core/src/expert.rs
@@ -1,8 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where a group's experts sit, when they move, and how all ranks change to
-//! a new map in the same step.
+//! Expert placement of a group: maps of experts to ranks, demand estimates,
+//! rebalancing decisions, and the protocol by which all ranks switch to a new
+//! map at the same step.
 
 pub mod barrier;
 pub mod calibration;
