--- a/crates/sablepass-core/src/expert/demand.rs
+++ b/crates/sablepass-core/src/expert/demand.rs
@@ -1,29 +1,28 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which experts are in demand, from counts that every rank keeps of its own
-//! requests.
+//! Demand for each expert of a group, from counts that ranks keep of their own requests.
 //!
-//! Requests are spread evenly over the ranks of a group, so a sample of ranks
-//! shows the demand of all. Each of those tells how often its requests chose
-//! each expert since it last told so: numbers that are small on the wire.
+//! Requests are spread evenly over the ranks of a group, so a sample of ranks represents
+//! the demand of the group. Each sampled rank reports how often its requests chose each
+//! expert since its last report, because increments take few bytes on the wire.
 
 use std::collections::VecDeque;
 
 use crate::id::Millis;
 
-/// Snapshots kept: some seconds of them.
-const KEEP: usize = 64;
-/// Most ranks that tell their counts. All of a group of 72 told theirs, of 12
-/// layers and 144 experts, and filled the planner's link of 8 Mbit/s.
+/// Number of snapshots kept, which covers several seconds.
+const MAX_SNAPSHOTS: usize = 64;
+/// Maximum number of ranks that report their counts. Reports from all 72 ranks of a group
+/// with 12 layers of 144 experts saturated the planner's link of 8 Mbit/s.
 pub const MAX_SAMPLED_RANKS: usize = 24;
 
-/// The ranks that are to tell their counts: those in the planner's hall first,
-/// since bytes between halls are dear, then by number. `near` tells of each
-/// rank whether it is there, `ranks` how many are to tell at most.
+/// Returns, for each rank, whether it is to report its counts. Selects at most `ranks`
+/// ranks: first those in the planner's data hall, since traffic between data halls is
+/// expensive, then by number. `near` states for each rank whether it is in that hall.
 pub fn sample(near: &[bool], ranks: usize) -> Vec<bool> {
     let mut order: Vec<usize> = (0..near.len()).collect();
-    order.sort_by_key(|it| !near[*it]);
+    order.sort_by_key(|rank| !near[*rank]);
     let mut chosen = vec![false; near.len()];
     for rank in order.into_iter().take(ranks) {
         chosen[rank] = true;
@@ -31,87 +30,90 @@
     chosen
 }
 
-/// A rank's counts and what of them was told.
+/// The last counts read from a rank's replica, for computing increments.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     last: Vec<u64>,
 }
 
 impl Counts {
-    /// What was chosen since the last call. Nothing at the first one, and
-    /// after a start of the replica, which counts from zero again.
+    /// Returns the choices of each expert since the last call. Returns `None` at the first
+    /// call, and after the replica restarted, which resets its counts to zero.
     pub fn advance(&mut self, counts: Vec<u64>) -> Option<Vec<u64>> {
-        let grown = self.last.len() == counts.len()
-            && self.last.iter().zip(&counts).all(|(last, it)| last <= it);
+        let monotonic = self.last.len() == counts.len()
+            && self.last.iter().zip(&counts).all(|(last, count)| last <= count);
         let increments =
-            grown.then(|| counts.iter().zip(&self.last).map(|(it, last)| it - last).collect());
+            monotonic.then(|| counts.iter().zip(&self.last).map(|(count, last)| count - last).collect());
         self.last = counts;
         increments
     }
 
-    /// Begins anew, for another receiver.
+    /// Discards the last counts. Called when the counts go to another receiver.
     pub fn reset(&mut self) {
         self.last.clear();
     }
 }
 
-/// Choices of the sampled ranks of a group.
+/// Choices of each expert, summed over the sampled ranks of a group.
 #[derive(Clone, Debug)]
 pub struct Demand {
     layers: usize,
     experts: usize,
-    /// When each rank last told.
-    told: Vec<Option<Millis>>,
+    /// Time of each rank's last report.
+    reported: Vec<Option<Millis>>,
+    /// Choices of each expert over all reports, layer by layer.
     total: Vec<u64>,
+    /// Snapshots of `total` with their times.
     history: VecDeque<(Millis, Vec<u64>)>,
 }
 
 impl Demand {
-    /// Opens an empty one.
+    /// Creates an empty demand.
     pub fn new(ranks: usize, layers: usize, experts: usize) -> Self {
         Self {
             layers,
             experts,
-            told: vec![None; ranks],
+            reported: vec![None; ranks],
             total: vec![0; layers * experts],
             history: VecDeque::new(),
         }
     }
 
-    /// Takes what a rank's requests chose since it last told, layer by layer.
-    /// False if their number does not fit.
+    /// Adds the choices of a rank's requests since its last report, layer by layer. Returns
+    /// `false` and changes nothing if the rank is unknown or the number of counts is wrong.
     pub fn record(&mut self, now: Millis, rank: usize, increments: &[u64]) -> bool {
-        if rank >= self.told.len() || increments.len() != self.layers * self.experts {
+        if rank >= self.reported.len() || increments.len() != self.layers * self.experts {
             return false;
         }
-        self.told[rank] = Some(now);
-        for (total, it) in self.total.iter_mut().zip(increments) {
-            *total += it;
+        self.reported[rank] = Some(now);
+        for (total, increment) in self.total.iter_mut().zip(increments) {
+            *total += increment;
         }
         true
     }
 
-    /// Age of the oldest counts of the sampled ranks; none while one has told
-    /// nothing.
+    /// Returns the age of the oldest report among the last reports of the sampled ranks, or
+    /// `None` while a sampled rank has not reported.
     pub fn age(&self, now: Millis, sampled: &[bool]) -> Option<Millis> {
-        let told = self.told.iter().zip(sampled).filter(|(_, sampled)| **sampled);
-        let oldest = told.map(|(at, _)| *at).min()??;
+        let reported = self.reported.iter().zip(sampled).filter(|(_, sampled)| **sampled);
+        let oldest = reported.map(|(at, _)| *at).min()??;
         Some(now.saturating_sub(oldest))
     }
 
-    /// Remembers the sum of all ranks as it is now.
+    /// Stores a snapshot of the current totals, which ends an interval.
     pub fn snapshot(&mut self, now: Millis) {
         self.history.push_back((now, self.total.clone()));
-        if self.history.len() > KEEP {
+        if self.history.len() > MAX_SNAPSHOTS {
             self.history.pop_front();
         }
     }
 
-    /// Choices of each expert by layer in the `marks` last intervals, as many
-    /// intervals `back`; none if that is not remembered.
-    pub fn recent(&self, marks: usize, back: usize) -> Option<Vec<Vec<f64>>> {
-        let end = self.history.len().checked_sub(1 + back)?;
-        let start = end.checked_sub(marks)?;
+    /// Returns the choices of each layer's experts in `intervals` consecutive intervals, the
+    /// last of which ended `skip` intervals before the latest snapshot. Returns `None` if
+    /// the snapshots needed are not available.
+    pub fn recent(&self, intervals: usize, skip: usize) -> Option<Vec<Vec<f64>>> {
+        let end = self.history.len().checked_sub(1 + skip)?;
+        let start = end.checked_sub(intervals)?;
         let (before, after) = (&self.history[start].1, &self.history[end].1);
         let chosen: Vec<f64> =
             after.iter().zip(before).map(|(after, before)| (after - before) as f64).collect();
@@ -119,8 +121,8 @@
     }
 }
 
-/// How alike two demands of a layer are: the cosine of their angle, 1 for the
-/// same mix.
+/// Returns the cosine similarity of two demands of a layer: 1 for the same mix of
+/// experts, 0 if either demand is empty.
 pub fn cosine_similarity(a: &[f64], b: &[f64]) -> f64 {
     let pairs = || a.iter().zip(b);
     let product: f64 = pairs().map(|(x, y)| x * y).sum();
