--- a/crates/sablepass-core/src/expert/draw.rs
+++ b/crates/sablepass-core/src/expert/draw.rs
@@ -1,136 +1,148 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Counts of chosen experts told in few bytes.
+//! Compact encoding of a rank's expert counts by sampling.
 //!
-//! A rank's counts are one number an expert and layer: 3,840 of them in a group
-//! of 10 layers and 384 experts, and 24 ranks that told them every 100 ms filled
-//! a link of 6 Mbit/s 1.2 times over. What is to be known is the mix of all
-//! requests, and of that one rank's requests are a small sample anyway; so a rank
-//! tells of each layer how many choices there were, and the experts of a few of
-//! them at even distances. Each drawn one stands for the same part of the total,
-//! so no expert is favoured, and 24 ranks that tell 48 draws a layer show the mix
-//! better than three that tell all in as many bytes (`tests/draw.rs`).
+//! A rank has one count per expert and layer: 3,840 counts in a group with 10 layers of
+//! 384 experts. 24 ranks that report all counts every 100 ms need 1.2 times the capacity
+//! of a link of 6 Mbit/s. The planner needs the mix of all requests, of which the requests
+//! of one rank are a small sample anyway. A rank therefore reports for each layer the
+//! number of choices, and the experts of a few choices at equal distances (systematic
+//! sampling). Each drawn choice stands for the same share of the total, so the sample is
+//! unbiased. 24 ranks with 48 draws per layer represent the mix better than three ranks
+//! that report all counts in the same number of bytes (`tests/draw.rs`).
 
 use snafu::{Snafu, ensure};
 
-/// Part of a planner's link that counts may take: the rest is for how the ranks
-/// stand, votes and maps. With 0.46 a group of 72 ranks on 8 Mbit/s plans in time.
-const LINK_PART: f64 = 0.5;
-/// Bytes of a count that is told as it is. By hand: most are below 128, which
-/// take one.
+/// Fraction of the planner's link that counts may use. The rest is for the state of the
+/// ranks, votes and maps. A group of 72 ranks on 8 Mbit/s plans in time at 0.46.
+const LINK_SHARE: f64 = 0.5;
+/// Mean bytes of an encoded count. Most counts are below 128, which take one byte.
 const COUNT_BYTES: f64 = 1.2;
-/// Bytes of a draw: the distance from the one before, below 128 but for a few.
+/// Mean bytes of an encoded draw: the distance to the previous draw, which is mostly
+/// below 128.
 const DRAW_BYTES: f64 = 1.05;
-/// Fewest draws of a layer that are worth a message.
-const LEAST_DRAWS: f64 = 16.0;
-/// Bits of a byte times milliseconds of a second, over bits of a megabit: bytes
-/// a millisecond of 1 Mbit/s.
-const BYTES_PER_MBIT: f64 = 125.0;
+/// Minimum number of draws per layer for a report to be useful.
+const MIN_DRAWS: f64 = 16.0;
+/// Bytes per millisecond at 1 Mbit/s.
+const BYTES_PER_MS_AND_MBIT: f64 = 125.0;
 
-/// Why draws do not fit a layer.
+/// A reason why draws are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// There is no such expert.
-    #[snafu(display("no expert {expert} of {experts}"))]
+    /// The expert number is out of range.
+    #[snafu(display("expert {expert} is out of range 0..{experts}"))]
     Unknown {
-        /// The one drawn.
+        /// Number of the drawn expert.
         expert: u64,
-        /// Experts of the layer.
+        /// Exclusive upper bound of expert numbers.
         experts: usize,
     },
-    /// Not as many layers as the group has.
-    #[snafu(display("draws of {found} layers; the group has {layers}"))]
+    /// The number of layers differs from the group's.
+    #[snafu(display("draws for {found} layers; the group has {layers}"))]
     Layers {
-        /// Layers told.
+        /// Layers in the report.
         found: usize,
         /// Layers of the group.
         layers: usize,
     },
 }
 
-/// How ranks tell their counts, so that the planner's link takes it.
+/// How many ranks report their counts and in which form, within the capacity of the
+/// planner's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportPlan {
-    /// Ranks that tell.
+    /// Number of ranks that report.
     pub ranks: usize,
-    /// Draws of a layer; none where all counts are told as they are.
+    /// Draws per layer, or `None` if ranks report all counts.
     pub draws: Option<u32>,
 }
 
-/// The choice for counts of `layers` and `experts`, told by `ranks` at most every
-/// `interval` milliseconds into a link of so many Mbit/s.
-pub fn report_plan(ranks: usize, layers: usize, experts: usize, link: f64, interval: f64) -> ReportPlan {
-    let bytes = link * BYTES_PER_MBIT * interval * LINK_PART;
-    let each = bytes / ranks.max(1) as f64;
+/// Returns the report plan for a group with `layers` layers of `experts` experts, in which
+/// at most `ranks` ranks report every `interval_ms` milliseconds over a link of
+/// `link_mbps` Mbit/s.
+pub fn report_plan(
+    ranks: usize,
+    layers: usize,
+    experts: usize,
+    link_mbps: f64,
+    interval_ms: f64,
+) -> ReportPlan {
+    let bytes = link_mbps * BYTES_PER_MS_AND_MBIT * interval_ms * LINK_SHARE;
+    let bytes_per_rank = bytes / ranks.max(1) as f64;
     let layers = layers.max(1) as f64;
-    if each >= layers * experts as f64 * COUNT_BYTES {
+    if bytes_per_rank >= layers * experts as f64 * COUNT_BYTES {
         return ReportPlan { ranks, draws: None };
     }
-    let draws = (each / layers / DRAW_BYTES).floor();
-    if draws >= LEAST_DRAWS {
+    let draws = (bytes_per_rank / layers / DRAW_BYTES).floor();
+    if draws >= MIN_DRAWS {
         return ReportPlan { ranks, draws: Some(draws as u32) };
     }
-    let fit = bytes / (layers * LEAST_DRAWS * DRAW_BYTES);
-    ReportPlan { ranks: (fit as usize).clamp(1, ranks.max(1)), draws: Some(LEAST_DRAWS as u32) }
+    let max_ranks = bytes / (layers * MIN_DRAWS * DRAW_BYTES);
+    ReportPlan { ranks: (max_ranks as usize).clamp(1, ranks.max(1)), draws: Some(MIN_DRAWS as u32) }
 }
 
-/// What was chosen in a layer, as it is told.
+/// A rank's choices in a layer, in sampled form.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Layer {
-    /// Choices.
+    /// Number of choices.
     pub total: u64,
-    /// Experts of those that were drawn, in order.
+    /// Experts of the drawn choices, in ascending order.
     pub drawn: Vec<u16>,
 }
 
 impl Layer {
-    /// Draws `draws` of a layer's choices at even distances, the first at `start`
-    /// of a distance (0 to 1); all of them where they are fewer.
+    /// Draws `draws` of a layer's choices at equal distances, or all of them if there are
+    /// fewer. `start` is the offset of the first draw as a fraction of the distance.
     pub fn draw(chosen: &[u64], draws: u32, start: f64) -> Self {
         let total: u64 = chosen.iter().sum();
         let drawn = total.min(u64::from(draws));
         let distance = total as f64 / drawn.max(1) as f64;
-        let mut it = Self { total, drawn: Vec::with_capacity(drawn as usize) };
-        let mut passed = 0.0;
+        let mut layer = Self { total, drawn: Vec::with_capacity(drawn as usize) };
+        let mut cumulative = 0.0;
         for (expert, count) in chosen.iter().enumerate() {
-            passed += *count as f64;
-            let next = |it: &Self| (it.drawn.len() as f64 + start) * distance;
-            while it.drawn.len() < drawn as usize && next(&it) < passed {
-                it.drawn.push(expert as u16);
+            cumulative += *count as f64;
+            let next = |layer: &Self| (layer.drawn.len() as f64 + start) * distance;
+            while layer.drawn.len() < drawn as usize && next(&layer) < cumulative {
+                layer.drawn.push(expert as u16);
             }
         }
-        it
+        layer
     }
 
-    /// The counts that the draws stand for. Their sum is the total.
+    /// Returns the counts of all experts that the draws represent. Their sum is `total` if
+    /// there are draws.
+    ///
+    /// Fails if a drawn expert is not below `experts`.
     pub fn counts(&self, experts: usize) -> Result<Vec<u64>, Error> {
         let mut counts = vec![0; experts];
         let drawn = self.drawn.len() as u64;
-        for (at, expert) in (0..).zip(&self.drawn) {
+        for (index, expert) in (0..).zip(&self.drawn) {
             let known = usize::from(*expert) < experts;
             ensure!(known, UnknownSnafu { expert: u64::from(*expert), experts });
-            let upto =
-                |it: u64| (u128::from(self.total) * u128::from(it) / u128::from(drawn)) as u64;
-            counts[usize::from(*expert)] += upto(at + 1) - upto(at);
+            let cumulative =
+                |draws: u64| (u128::from(self.total) * u128::from(draws) / u128::from(drawn)) as u64;
+            counts[usize::from(*expert)] += cumulative(index + 1) - cumulative(index);
         }
         Ok(counts)
     }
 
-    /// The numbers used on the wire: how many draws, and each one's distance
-    /// from the expert before.
+    /// Returns the numbers used on the wire: the number of draws, and for each draw the
+    /// difference between its expert number and that of the previous draw.
     pub fn encode(&self) -> impl Iterator<Item = u32> {
-        let before = std::iter::once(0).chain(self.drawn.iter().copied());
-        let distances = self.drawn.iter().zip(before).map(|(it, before)| u32::from(it - before));
+        let previous = std::iter::once(0).chain(self.drawn.iter().copied());
+        let distances = self.drawn.iter().zip(previous).map(|(expert, previous)| u32::from(expert - previous));
         std::iter::once(self.drawn.len() as u32).chain(distances)
     }
 }
 
-/// Reads the numbers used on the wire: `totals` of each layer, and `drawn` layer
-/// by layer.
+/// Decodes the numbers used on the wire: the total of each layer, and the encoded draws of
+/// all layers one after the other.
+///
+/// Fails if an expert number exceeds 16 bits or the number of layers differs.
 pub fn parse(totals: &[u64], drawn: &[u32], layers: usize) -> Result<Vec<Layer>, Error> {
     let mut numbers = drawn.iter();
-    let mut list = Vec::new();
+    let mut decoded = Vec::new();
     for total in totals {
         let Some(draws) = numbers.next() else { break };
         let mut expert = 0_u64;
@@ -138,13 +150,13 @@
         for distance in numbers.by_ref().take(*draws as usize) {
             expert += u64::from(*distance);
             let known = u16::try_from(expert).ok();
-            let Some(it) = known else {
+            let Some(known) = known else {
                 return UnknownSnafu { expert, experts: usize::from(u16::MAX) }.fail();
             };
-            layer.drawn.push(it);
+            layer.drawn.push(known);
         }
-        list.push(layer);
+        decoded.push(layer);
     }
-    ensure!(list.len() == layers, LayersSnafu { found: list.len(), layers });
-    Ok(list)
+    ensure!(decoded.len() == layers, LayersSnafu { found: decoded.len(), layers });
+    Ok(decoded)
 }
