--- a/crates/sablepass-core/src/expert/difference.rs
+++ b/crates/sablepass-core/src/expert/difference.rs
@@ -1,63 +1,63 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A map told by what differs from one that the receiver has.
+//! Encodes a map as its difference from a map that the receiver already has.
 //!
-//! A map of 192 ranks with 10 layers of 3 slots takes 11.5 KB, and a rank that
-//! passed it on to 14 others filled its link of 6 Mbit/s for 0.2 s. A change
-//! brings some hundred experts to other ranks, at three to four bytes each.
+//! A map of 192 ranks with 10 layers of 3 slots takes 11.5 KB. A rank that forwards it to
+//! 14 others occupies its link of 6 Mbit/s for 0.2 s. A change assigns some hundred experts
+//! to other ranks, at three to four bytes each.
 
 use snafu::{OptionExt, Snafu, ensure};
 
 use crate::expert::map::{self, Expert, Map, Slot};
 
-/// Why a difference cannot be applied.
+/// A reason why a difference cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Slots and experts come in pairs.
-    #[snafu(display("{numbers} numbers are no pairs"))]
+    /// The number of values is odd, but values come in pairs of slot and expert.
+    #[snafu(display("difference has {numbers} numbers, which is not an even count"))]
     Unpaired {
-        /// Numbers given.
+        /// Number of values received.
         numbers: usize,
     },
-    /// There is no such slot.
-    #[snafu(display("no slot {slot} of {slots}"))]
+    /// The slot is out of range.
+    #[snafu(display("unknown slot {slot}: the map has {slots} slots"))]
     Slot {
-        /// The slot, counted over all layers.
+        /// Slot index, counted over all layers.
         slot: u64,
-        /// Slots of the map.
+        /// Number of slots of the map, over all layers.
         slots: usize,
     },
-    /// There is no such expert.
-    #[snafu(display("no expert {expert}"))]
+    /// The expert number exceeds 16 bits.
+    #[snafu(display("invalid encoded expert {expert}"))]
     Expert {
-        /// The number given, one above the expert's.
+        /// Encoded value: the expert number plus 1.
         expert: u32,
     },
-    /// A whole map is none.
+    /// A map that was received as a whole is invalid.
     #[snafu(transparent)]
     Map {
-        /// Why not.
+        /// Reason why the map is invalid.
         source: map::Error,
     },
-    /// It starts from another map than the receiver's.
-    #[snafu(display("it starts from another map"))]
+    /// The difference was computed from another base map than the receiver's.
+    #[snafu(display("difference was computed from another base map"))]
     BaseMismatch,
 }
 
-/// The numbers used on the wire, two for each slot with another expert: its
-/// distance from the one before, over all layers, and the expert plus 1, or 0 for
-/// none. Both maps have the same shape.
+/// Encodes the difference between two maps of the same shape. For each slot whose expert
+/// differs, returns two numbers: the distance to the previous such slot, counted over all
+/// layers, and the expert number plus 1, or 0 for an empty slot.
 pub fn between(old: &Map, new: &Map) -> Vec<u32> {
     let mut numbers = Vec::new();
-    let (mut slot, mut told) = (0, 0);
+    let (mut slot, mut previous) = (0, 0);
     for (old, new) in old.layers.iter().zip(&new.layers) {
         for at in new.slots() {
-            let it = new.expert(at);
-            if it != old.expert(at) {
-                numbers.push(slot - told);
-                numbers.push(it.map_or(0, |it| u32::from(it.0) + 1));
-                told = slot;
+            let expert = new.expert(at);
+            if expert != old.expert(at) {
+                numbers.push(slot - previous);
+                numbers.push(expert.map_or(0, |expert| u32::from(expert.0) + 1));
+                previous = slot;
             }
             slot += 1;
         }
@@ -65,13 +65,17 @@
     numbers
 }
 
-/// The map that differs so from another one, if it has the digest that the sender
-/// gave.
+/// Applies an encoded difference to the base map `old`, and checks the result against the
+/// digest sent with the difference.
+///
+/// Fails if the numbers are malformed, or with [`Error::BaseMismatch`] if the result is
+/// invalid or has another digest.
 pub fn apply(old: &Map, numbers: &[u32], digest: u64) -> Result<Map, Error> {
     let per_layer = old.shape.ranks * old.shape.slots;
     let slots = per_layer * old.shape.layers;
-    let all = |it: &map::Layer| it.slots().map(|at| it.expert(at)).collect::<Vec<_>>();
-    let mut layers: Vec<Vec<Option<Expert>>> = old.layers.iter().map(all).collect();
+    let experts =
+        |layer: &map::Layer| layer.slots().map(|at| layer.expert(at)).collect::<Vec<_>>();
+    let mut layers: Vec<Vec<Option<Expert>>> = old.layers.iter().map(experts).collect();
     let (pairs, rest) = numbers.as_chunks::<2>();
     ensure!(rest.is_empty(), UnpairedSnafu { numbers: numbers.len() });
     let mut slot = 0_u64;
@@ -81,15 +85,15 @@
         ensure!(at < slots, SlotSnafu { slot, slots });
         layers[at / per_layer][at % per_layer] = parse_expert(*expert)?;
     }
-    // From another map the same changes mostly lead to what is no map at all.
+    // Applied to another base, most differences result in an invalid map.
     let new = Map::build(old.shape, &layers).ok();
-    new.filter(|it| it.digest() == digest).context(BaseMismatchSnafu)
+    new.filter(|map| map.digest() == digest).context(BaseMismatchSnafu)
 }
 
 fn parse_expert(number: u32) -> Result<Option<Expert>, Error> {
-    let Some(it) = number.checked_sub(1) else { return Ok(None) };
-    match u16::try_from(it) {
-        Ok(it) => Ok(Some(Expert(it))),
+    let Some(index) = number.checked_sub(1) else { return Ok(None) };
+    match u16::try_from(index) {
+        Ok(index) => Ok(Some(Expert(index))),
         Err(_) => ExpertSnafu { expert: number }.fail(),
     }
 }
