--- a/crates/sablepass-core/tests/expert.rs
+++ b/crates/sablepass-core/tests/expert.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Maps, estimates, placement and decisions.
+//! Expert maps, load estimates, placement, and the decisions of both planners.
 
 use quickcheck::{QuickCheck, TestResult};
 use rand::rngs::StdRng;
@@ -21,8 +21,8 @@
     (0..shape.layers).map(|_| layer(rng)).collect()
 }
 
-/// An estimate that has seen the same counts for long.
-fn settled(shape: Shape, tokens: &[Vec<f64>]) -> Estimate {
+/// Returns an estimate that has converged to the given counts.
+fn converged(shape: Shape, tokens: &[Vec<f64>]) -> Estimate {
     let mut estimate = Estimate::new(drift::Options::default(), shape.layers, shape.experts);
     for step in 1..100 {
         estimate.observe(step * 100, tokens);
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn verify_bad_maps_cannot_be_built() {
+fn verify_invalid_maps_are_rejected() {
     let shape = Shape { ranks: 2, layers: 1, experts: 2, slots: 2 };
     let (a, b) = (Some(Expert(0)), Some(Expert(1)));
-    let build = |it: [Option<Expert>; 4]| Map::build(shape, &[it.to_vec()]);
+    let build = |slots: [Option<Expert>; 4]| Map::build(shape, &[slots.to_vec()]);
     assert!(build([a, b, b, a]).is_ok());
     assert_eq!(build([a, None, None, None]), Err(Error::Missing { layer: 0, expert: 1 }));
     assert_eq!(build([a, a, b, None]), Err(Error::Duplicate { layer: 0, expert: 0, rank: 0 }));
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn verify_maps_survive_the_wire() {
+fn verify_maps_round_trip_through_encoding() {
     let map = Map::even(SHAPE).expect("built");
     assert_eq!(Map::parse(SHAPE, &map.encode()), Ok(map));
 }
 
 #[test]
-fn verify_rebuild_is_a_map_and_balances() {
+fn verify_rebuilt_maps_are_valid_and_keep_the_load() {
     fn holds(seed: u64) -> TestResult {
         let mut rng = StdRng::seed_from_u64(seed);
         let shape = Shape {
@@ -64,7 +64,7 @@
         }
         let tokens = random_tokens(&mut rng, shape);
         let map = match place::rebuild(shape, &tokens) {
-            Ok(it) => it,
+            Ok(map) => map,
             Err(e) => return TestResult::error(format!("{shape:?}: {e}")),
         };
         let total: f64 = tokens[0].iter().sum();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn verify_small_steps_keep_maps_whole() {
+fn verify_changes_keep_maps_valid() {
     fn holds(seed: u64) -> bool {
         let mut rng = StdRng::seed_from_u64(seed);
         let tokens = random_tokens(&mut rng, SHAPE);
@@ -85,8 +85,8 @@
             else {
                 break;
             };
-            assert!(change.apply(&mut map.layers[0]), "an impossible change was proposed");
-            // Reading it back checks every rule of a map.
+            assert!(change.apply(&mut map.layers[0]), "best_change returned a change that cannot be applied");
+            // Decoding checks every constraint of a map.
             assert_eq!(Map::parse(SHAPE, &map.encode()).as_ref(), Ok(&map));
         }
         let even = Map::even(SHAPE).expect("built").layers[0].skew(&tokens[0]);
@@ -100,38 +100,39 @@
     let mut tokens = vec![vec![10.0; SHAPE.experts]; SHAPE.layers];
     tokens[1][5] = 200.0;
     let map = Map::even(SHAPE).expect("built");
-    let decision = plan::decide(&Options::default(), &map, &settled(SHAPE, &tokens));
+    let decision = plan::decide(&Options::default(), &map, &converged(SHAPE, &tokens));
     let Decision::Change { map: new, moves, .. } = decision else {
         panic!("{decision:?}");
     };
     assert!(new.layers[1].replicas(Expert(5)) > map.layers[1].replicas(Expert(5)));
     assert!(new.layers[1].skew(&tokens[1]) < 1.3, "{}", new.layers[1].skew(&tokens[1]));
     assert_eq!(moves, new.moves_from(&map));
-    assert_eq!(new.layers[0], map.layers[0], "an even layer was touched");
+    assert_eq!(new.layers[0], map.layers[0], "a balanced layer was changed");
 }
 
 #[test]
-fn verify_free_moves_come_to_an_end() {
-    // Moves that cost nothing once went to and fro for ever over rounding errors.
+fn verify_search_terminates_if_moves_are_free() {
+    // Without a move cost, the search would loop forever if it accepted gains that are
+    // only rounding errors.
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let tokens = random_tokens(&mut rng, SHAPE);
         let map = Map::even(SHAPE).expect("built");
         let free =
             Options { move_weight: 0.0, min_gain: 0.0, budget: usize::MAX, ..Options::default() };
-        let decision = plan::decide(&free, &map, &settled(SHAPE, &tokens));
+        let decision = plan::decide(&free, &map, &converged(SHAPE, &tokens));
         assert!(matches!(decision, Decision::Change { .. }));
     }
 }
 
 #[test]
-fn verify_weights_change_the_answer() {
+fn verify_move_weight_reduces_moves() {
     let mut rng = StdRng::seed_from_u64(3);
     let tokens = random_tokens(&mut rng, SHAPE);
     let map = Map::even(SHAPE).expect("built");
     let moves = |move_weight| {
         let options = Options { move_weight, ..Options::default() };
-        match plan::decide(&options, &map, &settled(SHAPE, &tokens)) {
+        match plan::decide(&options, &map, &converged(SHAPE, &tokens)) {
             Decision::Change { moves, .. } => moves,
             Decision::Keep(_) => 0,
         }
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn verify_nothing_known_nothing_done() {
+fn verify_map_is_kept_without_counts() {
     let map = Map::even(SHAPE).expect("built");
     let estimate = Estimate::new(drift::Options::default(), SHAPE.layers, SHAPE.experts);
     let decision = plan::decide(&Options::default(), &map, &estimate);
@@ -158,50 +159,50 @@
 }
 
 #[test]
-fn verify_estimate_follows_a_wave_and_not_noise() {
+fn verify_estimate_follows_a_load_change_and_not_noise() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut estimate = Estimate::new(drift::Options::default(), 1, 1);
     let mut noisy = |base: f64| vec![vec![base + rng.random_range(-20.0..20.0)]];
     for step in 1..600 {
         estimate.observe(step * 10, &noisy(100.0));
     }
-    let calm = estimate.tokens()[0][0];
-    assert!((calm - 100.0).abs() < 5.0, "{calm}");
+    let steady = estimate.tokens()[0][0];
+    assert!((steady - 100.0).abs() < 5.0, "{steady}");
     for step in 600..640 {
         estimate.observe(step * 10, &noisy(300.0));
     }
-    let wave = estimate.tokens()[0][0];
-    assert!(wave > 270.0, "400 steps into a wave the estimate is {wave}");
+    let changed = estimate.tokens()[0][0];
+    assert!(changed > 270.0, "estimate is {changed} 400 steps after the load changed");
 }
 
 #[test]
-fn verify_quiet_hours() {
-    let hours: Vec<u8> = (0..24).filter(|it| plan::in_quiet_hours(Some([22, 3]), *it)).collect();
+fn verify_quiet_hours_may_span_midnight() {
+    let hours: Vec<u8> = (0..24).filter(|hour| plan::in_quiet_hours(Some([22, 3]), *hour)).collect();
     assert_eq!(hours, [0, 1, 2, 22, 23]);
     assert!(!plan::in_quiet_hours(None, 5));
 }
 
 #[test]
-fn verify_skew_of_nothing_is_even() {
+fn verify_skew_without_load_is_one() {
     assert!((skew(&[0.0, 0.0]) - 1.0).abs() < f64::EPSILON);
 }
 
-/// Changes a map as often as that is found worth it, and returns how often.
+/// Applies changes until none is worth it, and returns their number.
 fn settle(map: &mut Map, tokens: &[Vec<f64>], paces: &Paces) -> usize {
     let options = rebalance::Options::default();
     let mut changes = 0;
     while let Some(change) = rebalance::decide(&options, map, tokens, paces) {
-        // Reading it back checks every rule of a map.
+        // Decoding checks every constraint of a map.
         assert_eq!(Map::parse(map.shape, &change.map.encode()).as_ref(), Ok(&change.map));
         *map = change.map;
         changes += 1;
-        assert!(changes < 20, "changes without end");
+        assert!(changes < 20, "the planner does not stop changing the map");
     }
     changes
 }
 
 #[test]
-fn verify_work_leaves_a_slow_rank() {
+fn verify_load_moves_off_a_slow_rank() {
     let shape = Shape { ranks: 16, layers: 4, experts: 64, slots: 5 };
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -210,20 +211,21 @@
         settle(&mut map, &tokens, &Paces::default());
         let slow = rng.random_range(0..shape.ranks);
         let pace = [2.0, 4.0, 8.0][seed as usize % 3];
-        let paces = Paces::new((0..shape.ranks).map(|it| if it == slow { pace } else { 1.0 }));
+        let paces = Paces::new((0..shape.ranks).map(|rank| if rank == slow { pace } else { 1.0 }));
         let before = rebalance::mean_lag(&map, &tokens, &paces);
         settle(&mut map, &tokens, &paces);
         let after = rebalance::mean_lag(&map, &tokens, &paces);
         assert!(after < 1.7, "seed {seed}, rank {slow} at {pace}: {before} to {after}");
-        // Its work comes back when it is healthy, or the rest do without it.
+        // After the rank has recovered, the map is balanced again, with or without load moved
+        // back to the rank.
         settle(&mut map, &tokens, &Paces::default());
         assert!(rebalance::mean_lag(&map, &tokens, &Paces::default()) < 1.7);
     }
 }
 
 #[test]
-fn verify_odd_paces_are_not_believed() {
+fn verify_paces_are_bounded() {
     let paces = Paces::new([f64::NAN, -1.0, 0.0, 1e300, f64::INFINITY]);
-    let seen: Vec<f64> = (0..6).map(|it| paces.of(Rank(it))).collect();
-    assert_eq!(seen, [1.0, 1.0, 1.0, 16.0, 1.0, 1.0]);
+    let bounded: Vec<f64> = (0..6).map(|rank| paces.of(Rank(rank))).collect();
+    assert_eq!(bounded, [1.0, 1.0, 1.0, 16.0, 1.0, 1.0]);
 }
