--- a/crates/sablepass-core/tests/difference.rs
+++ b/crates/sablepass-core/tests/difference.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Maps told by what differs from another one.
+//! Maps encoded as the difference from a base map.
 
 use quickcheck::QuickCheck;
 use rand::rngs::StdRng;
@@ -11,13 +11,13 @@
 
 const LARGE: Shape = Shape { ranks: 192, layers: 10, experts: 384, slots: 3 };
 
-/// Makes so many changes, a layer each.
-fn change(map: &Map, rng: &mut StdRng, changes: usize) -> Map {
+/// Returns the map after the given number of random changes, some of which may be refused.
+fn randomly_changed(map: &Map, rng: &mut StdRng, changes: usize) -> Map {
     let mut new = map.clone();
     let experts = map.shape.experts;
     for _ in 0..changes {
-        let at = rng.random_range(0..new.layers.len());
-        let layer = &mut new.layers[at];
+        let index = rng.random_range(0..new.layers.len());
+        let layer = &mut new.layers[index];
         let slot = Slot(rng.random_range(0..map.shape.ranks * map.shape.slots));
         if rng.random_bool(0.2) {
             layer.clear(slot);
@@ -29,22 +29,22 @@
 }
 
 #[test]
-fn verify_a_map_is_what_differs_from_another() {
+fn verify_applying_a_difference_restores_the_map() {
     fn holds(seed: u64, changes: u8) -> bool {
         let mut rng = StdRng::seed_from_u64(seed);
         let shape = Shape { ranks: 7, layers: 3, experts: 12, slots: 4 };
-        let old = change(&Map::even(shape).expect("built"), &mut rng, 30);
-        let new = change(&old, &mut rng, changes.into());
+        let old = randomly_changed(&Map::even(shape).expect("built"), &mut rng, 30);
+        let new = randomly_changed(&old, &mut rng, changes.into());
         difference::apply(&old, &difference::between(&old, &new), new.digest()) == Ok(new)
     }
     QuickCheck::new().quickcheck(holds as fn(u64, u8) -> bool);
 }
 
 #[test]
-fn verify_a_change_of_a_large_map_takes_few_bytes() {
+fn verify_difference_of_large_maps_is_small() {
     let mut rng = StdRng::seed_from_u64(1);
     let old = Map::even(LARGE).expect("built");
-    let new = change(&old, &mut rng, 2_200);
+    let new = randomly_changed(&old, &mut rng, 2_200);
     let moves = new.moves_from(&old);
     assert!(moves >= 500, "{moves}");
     let numbers = difference::between(&old, &new);
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn verify_a_difference_from_another_map_is_refused() {
+fn verify_differences_from_another_base_or_malformed_are_refused() {
     let mut rng = StdRng::seed_from_u64(2);
     let old = Map::even(LARGE).expect("built");
-    let new = change(&old, &mut rng, 50);
-    let other = change(&old, &mut rng, 50);
+    let new = randomly_changed(&old, &mut rng, 50);
+    let other = randomly_changed(&old, &mut rng, 50);
     let numbers = difference::between(&old, &new);
     assert_eq!(difference::apply(&other, &numbers, new.digest()), Err(Error::BaseMismatch));
     let digest = new.digest();
@@ -65,13 +65,13 @@
     assert_eq!(refused(&[1]), Some(Error::Unpaired { numbers: 1 }));
     assert_eq!(refused(&[5_760, 1]), Some(Error::Slot { slot: 5_760, slots: 5_760 }));
     assert_eq!(refused(&[0, 70_000]), Some(Error::Expert { expert: 70_000 }));
-    assert_eq!(refused(&[0, 385]), Some(Error::BaseMismatch), "there are 384 experts");
+    assert_eq!(refused(&[0, 385]), Some(Error::BaseMismatch), "expert 384 of 384 makes the map invalid");
     assert_eq!(refused(&[]), Some(Error::BaseMismatch));
 }
 
 #[test]
-fn verify_dealt_maps_hold_each_expert_once() {
+fn verify_initial_maps_hold_each_expert_once() {
     let map = Map::initial(LARGE).expect("built");
     assert!(map.layers.iter().all(|it| (0..384).all(|expert| it.replicas(Expert(expert)) == 1)));
-    assert!(Map::initial(Shape { slots: 1, ..LARGE }).is_err(), "384 experts, 192 slots");
+    assert!(Map::initial(Shape { slots: 1, ..LARGE }).is_err(), "192 slots cannot hold 384 experts");
 }
