--- a/crates/sablepass-core/tests/foresight.rs
+++ b/crates/sablepass-core/tests/foresight.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Maps that turn out less even than worked out are not replaced by others that
-//! would turn out no better, and a shift still brings one.
+//! Lag calibration: a map whose lag is larger than predicted is not replaced by one that
+//! would be no better, and a shift of demand still leads to a new map.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -12,36 +12,38 @@
 use sablepass_core::expert::watch::Watch;
 
 const SHAPE: Shape = Shape { ranks: 48, layers: 3, experts: 96, slots: 3 };
-/// Milliseconds between two intervals.
-const INTERVAL: u64 = 100;
+/// Length of an interval of counts in milliseconds.
+const INTERVAL_MS: u64 = 100;
 
+/// Returns a random popularity of each layer's experts.
 fn popularity(rng: &mut StdRng) -> Vec<Vec<f64>> {
     let mut layer = || {
         let mut weights: Vec<f64> = (0..SHAPE.experts).map(|it| 1.0 / (it as f64 + 6.0)).collect();
-        for at in (1..weights.len()).rev() {
-            weights.swap(at, rng.random_range(0..=at));
+        for index in (1..weights.len()).rev() {
+            weights.swap(index, rng.random_range(0..=index));
         }
         weights
     };
     (0..SHAPE.layers).map(|_| layer()).collect()
 }
 
-/// What few requests choose, each of which has favourites of its own.
+/// Returns the choices of a few requests, each of which deviates from the mix.
 fn interval(rng: &mut StdRng, mix: &[Vec<f64>]) -> Vec<Vec<f64>> {
     let mut counts = vec![vec![0.0; SHAPE.experts]; SHAPE.layers];
     for _ in 0..6 {
         for (counts, weights) in counts.iter_mut().zip(mix) {
             for (count, weight) in counts.iter_mut().zip(weights) {
-                let own = if rng.random_bool(0.2) { 4.0 } else { 0.25 };
-                *count += 3_000.0 * weight * own;
+                let deviation = if rng.random_bool(0.2) { 4.0 } else { 0.25 };
+                *count += 3_000.0 * weight * deviation;
             }
         }
     }
     counts
 }
 
-/// Changes of map in some seconds of one demand, and in the second after a shift.
-fn changes(seed: u64, learns: bool) -> (usize, usize) {
+/// Returns the number of map changes during four seconds of constant demand, and during the
+/// second after a shift.
+fn changes(seed: u64, calibrated: bool) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut map = Map::initial(SHAPE).expect("built");
     let (mut watch, mut calibration) = (Watch::default(), LagCalibration::default());
@@ -51,7 +53,7 @@
         if at == 60 {
             mix = popularity(&mut rng);
         }
-        let now = at * INTERVAL;
+        let now = at * INTERVAL_MS;
         if watch.take(now, interval(&mut rng, &mix)) {
             calibration.demand_shifted();
         }
@@ -59,11 +61,11 @@
             let demand = watch.demand().expect("counted");
             calibration.record_lag(rebalance::mean_lag(&map, demand, &Paces::default()));
         }
-        let optimism = if learns { calibration.optimism() } else { 1.0 };
+        let optimism = if calibrated { calibration.optimism() } else { 1.0 };
         let options =
             Options { copy_ms: 3.0, demand_ms: 4_000.0, expert_share: 0.8, optimism, ..Options::default() };
         let demand = watch.demand().expect("counted");
-        // A change takes three intervals to come into force.
+        // A map takes three intervals to come into force.
         let due = at % 3 == 0;
         let change = rebalance::decide(&options, &map, demand, &Paces::default());
         if let Some(change) = change.filter(|_| due) {
@@ -77,18 +79,18 @@
 }
 
 #[test]
-fn verify_no_map_is_chased_that_turns_out_no_better() {
-    let sum = |learns| {
-        let all = (0..6).map(|seed| changes(seed, learns));
+fn verify_calibration_avoids_changes_to_maps_that_are_no_better() {
+    let sum = |calibrated| {
+        let all = (0..6).map(|seed| changes(seed, calibrated));
         all.fold((0, 0), |sum, it| (sum.0 + it.0, sum.1 + it.1))
     };
-    let (chasing, learning) = (sum(false), sum(true));
-    assert!(learning.0 * 3 <= chasing.0, "{learning:?} and {chasing:?} changes");
-    assert!(learning.1 >= 6, "a shift brings a map: {learning:?}");
+    let (uncalibrated, calibrated) = (sum(false), sum(true));
+    assert!(calibrated.0 * 3 <= uncalibrated.0, "{calibrated:?} and {uncalibrated:?} changes");
+    assert!(calibrated.1 >= 6, "too few changes after a shift: {calibrated:?}");
 }
 
 #[test]
-fn verify_foresight_follows_what_maps_turn_out_to_be() {
+fn verify_optimism_follows_the_measured_lag() {
     let mut calibration = LagCalibration::default();
     assert!(!calibration.is_due(10_000), "no map is in force");
     for at in 0..20 {
@@ -101,5 +103,5 @@
     calibration.map_applied(0, 1.1);
     calibration.demand_shifted();
     calibration.record_lag(9.0);
-    assert!(calibration.optimism() < 1.41, "made for another demand");
+    assert!(calibration.optimism() < 1.41, "a map computed for another demand must not count");
 }
