--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 
 use sablepass_core::expert::barrier::{Done, Member, Reading};
-use sablepass_core::expert::demand::{self, Demand};
 use sablepass_core::expert::calibration::LagCalibration;
+use sablepass_core::expert::demand::{self, Demand};
 use sablepass_core::expert::map::{Bounds, Map};
 use sablepass_core::expert::rebalance::{self, SearchBackoff};
 use sablepass_core::expert::watch::Watch;
--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -109,7 +109,8 @@
             return;
         }
         let Some(held) = self.held_map() else { return };
-        let initial = Map::initial(held.shape).ok().filter(|it| version == 0 && it.holds_same(&held));
+        let initial =
+            Map::initial(held.shape).ok().filter(|it| version == 0 && it.holds_same(&held));
         self.base = Some(Base { version, map: initial.unwrap_or(held) });
     }
 
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -174,7 +174,14 @@
         let map = rebalance::fill(spare, old)?;
         let lag = self.lag.unwrap_or(1.0);
         let (moves, max_copies) = (map.moves_from(old), spare * old.layers.len());
-        Some(rebalance::Change { map, lag_before: lag, lag_after: lag, moves, max_copies, saved_ms: 0.0 })
+        Some(rebalance::Change {
+            map,
+            lag_before: lag,
+            lag_after: lag,
+            moves,
+            max_copies,
+            saved_ms: 0.0,
+        })
     }
 
     /// Why the map that is proposed can no longer be of use, if so.
--- a/crates/sablepass-core/src/expert/demand.rs
+++ b/crates/sablepass-core/src/expert/demand.rs
@@ -42,8 +42,8 @@
     pub fn advance(&mut self, counts: Vec<u64>) -> Option<Vec<u64>> {
         let monotonic = self.last.len() == counts.len()
             && self.last.iter().zip(&counts).all(|(last, count)| last <= count);
-        let increments =
-            monotonic.then(|| counts.iter().zip(&self.last).map(|(count, last)| count - last).collect());
+        let increments = monotonic
+            .then(|| counts.iter().zip(&self.last).map(|(count, last)| count - last).collect());
         self.last = counts;
         increments
     }
--- a/crates/sablepass-core/src/expert/difference.rs
+++ b/crates/sablepass-core/src/expert/difference.rs
@@ -73,8 +73,7 @@
 pub fn apply(old: &Map, numbers: &[u32], digest: u64) -> Result<Map, Error> {
     let per_layer = old.shape.ranks * old.shape.slots;
     let slots = per_layer * old.shape.layers;
-    let experts =
-        |layer: &map::Layer| layer.slots().map(|at| layer.expert(at)).collect::<Vec<_>>();
+    let experts = |layer: &map::Layer| layer.slots().map(|at| layer.expert(at)).collect::<Vec<_>>();
     let mut layers: Vec<Vec<Option<Expert>>> = old.layers.iter().map(experts).collect();
     let (pairs, rest) = numbers.as_chunks::<2>();
     ensure!(rest.is_empty(), UnpairedSnafu { numbers: numbers.len() });
--- a/crates/sablepass-core/src/expert/draw.rs
+++ b/crates/sablepass-core/src/expert/draw.rs
@@ -120,8 +120,9 @@
         for (index, expert) in (0..).zip(&self.drawn) {
             let known = usize::from(*expert) < experts;
             ensure!(known, UnknownSnafu { expert: u64::from(*expert), experts });
-            let cumulative =
-                |draws: u64| (u128::from(self.total) * u128::from(draws) / u128::from(drawn)) as u64;
+            let cumulative = |draws: u64| {
+                (u128::from(self.total) * u128::from(draws) / u128::from(drawn)) as u64
+            };
             counts[usize::from(*expert)] += cumulative(index + 1) - cumulative(index);
         }
         Ok(counts)
@@ -131,7 +132,8 @@
     /// difference between its expert number and that of the previous draw.
     pub fn encode(&self) -> impl Iterator<Item = u32> {
         let previous = std::iter::once(0).chain(self.drawn.iter().copied());
-        let distances = self.drawn.iter().zip(previous).map(|(expert, previous)| u32::from(expert - previous));
+        let distances =
+            self.drawn.iter().zip(previous).map(|(expert, previous)| u32::from(expert - previous));
         std::iter::once(self.drawn.len() as u32).chain(distances)
     }
 }
--- a/crates/sablepass-core/src/expert/place.rs
+++ b/crates/sablepass-core/src/expert/place.rs
@@ -125,8 +125,7 @@
             rank.1.push(missing);
             continue;
         }
-        let count =
-            |expert: Expert| ranks.iter().filter(|rank| rank.1.contains(&expert)).count();
+        let count = |expert: Expert| ranks.iter().filter(|rank| rank.1.contains(&expert)).count();
         let mut spare = None;
         for (index, rank) in ranks.iter().enumerate() {
             if let Some(position) = rank.1.iter().position(|it| count(*it) > 1) {
@@ -206,7 +205,8 @@
 fn surplus(layer: &Layer, change: Change) -> f64 {
     match change {
         Change::Put(to, _) => layer.expert(to).map_or(MAX_SURPLUS_BONUS, |old| {
-            (SURPLUS_BONUS * f64::from(layer.replicas(old).saturating_sub(2))).min(MAX_SURPLUS_BONUS)
+            (SURPLUS_BONUS * f64::from(layer.replicas(old).saturating_sub(2)))
+                .min(MAX_SURPLUS_BONUS)
         }),
         Change::Swap(..) | Change::Drop(_) => 0.0,
     }
@@ -215,8 +215,7 @@
 /// Returns the slots of a rank whose experts contribute the most load, in descending
 /// order.
 fn heaviest(layer: &Layer, tokens: &[f64], rank: Rank) -> Vec<(Slot, Expert)> {
-    let share =
-        |expert: Expert| tokens[usize::from(expert.0)] / f64::from(layer.replicas(expert));
+    let share = |expert: Expert| tokens[usize::from(expert.0)] / f64::from(layer.replicas(expert));
     let held = layer.slots_of(rank).filter_map(|slot| Some((slot, layer.expert(slot)?)));
     let mut held: Vec<(Slot, Expert)> = held.collect();
     held.sort_by(|a, b| share(b.1).total_cmp(&share(a.1)));
--- a/crates/sablepass-core/src/expert/plan.rs
+++ b/crates/sablepass-core/src/expert/plan.rs
@@ -221,11 +221,7 @@
 
 /// Returns, for each layer, the index of the last point of its sequence that fits the
 /// budget, or `None` if the layer stays as it is.
-fn choose(
-    options: &Options,
-    sequences: &[Vec<Point>],
-    segments: &[Segment],
-) -> Vec<Option<usize>> {
+fn choose(options: &Options, sequences: &[Vec<Point>], segments: &[Segment]) -> Vec<Option<usize>> {
     let mut chosen = vec![None; sequences.len()];
     let mut stopped = vec![false; sequences.len()];
     let mut moves = 0;
--- a/crates/sablepass-core/src/expert/rebalance.rs
+++ b/crates/sablepass-core/src/expert/rebalance.rs
@@ -214,16 +214,12 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(
-        options: &'a Options,
-        start: &'a Map,
-        demand: &'a [Vec<f64>],
-        paces: &'a Paces,
-    ) -> Self {
+    fn new(options: &'a Options, start: &'a Map, demand: &'a [Vec<f64>], paces: &'a Paces) -> Self {
         let new = vec![0; start.shape.ranks];
         let new_by_layer = vec![new.clone(); start.layers.len()];
         let layers = start.layers.iter().zip(demand);
-        let layers = layers.map(|(layer, tokens)| Steps::new(layer.clone(), tokens, paces)).collect();
+        let layers =
+            layers.map(|(layer, tokens)| Steps::new(layer.clone(), tokens, paces)).collect();
         Self { options, start, layers, new_by_layer, new }
     }
 
@@ -267,7 +263,8 @@
             let rank = layer.rank(slot);
             let rank_index = usize::from(rank.0);
             let count = new_experts(start, layer, rank);
-            self.new[rank_index] = self.new[rank_index] + count - self.new_by_layer[index][rank_index];
+            self.new[rank_index] =
+                self.new[rank_index] + count - self.new_by_layer[index][rank_index];
             self.new_by_layer[index][rank_index] = count;
         }
         true
--- a/crates/sablepass-core/tests/demand.rs
+++ b/crates/sablepass-core/tests/demand.rs
@@ -7,7 +7,10 @@
 
 #[test]
 fn verify_sample_takes_all_ranks_of_a_small_group() {
-    assert_eq!(demand::sample(&[true, false, false, true], demand::MAX_SAMPLED_RANKS), vec![true; 4]);
+    assert_eq!(
+        demand::sample(&[true, false, false, true], demand::MAX_SAMPLED_RANKS),
+        vec![true; 4]
+    );
 }
 
 #[test]
--- a/crates/sablepass-core/tests/difference.rs
+++ b/crates/sablepass-core/tests/difference.rs
@@ -65,7 +65,11 @@
     assert_eq!(refused(&[1]), Some(Error::Unpaired { numbers: 1 }));
     assert_eq!(refused(&[5_760, 1]), Some(Error::Slot { slot: 5_760, slots: 5_760 }));
     assert_eq!(refused(&[0, 70_000]), Some(Error::Expert { expert: 70_000 }));
-    assert_eq!(refused(&[0, 385]), Some(Error::BaseMismatch), "expert 384 of 384 makes the map invalid");
+    assert_eq!(
+        refused(&[0, 385]),
+        Some(Error::BaseMismatch),
+        "expert 384 of 384 makes the map invalid"
+    );
     assert_eq!(refused(&[]), Some(Error::BaseMismatch));
 }
 
@@ -73,5 +77,8 @@
 fn verify_initial_maps_hold_each_expert_once() {
     let map = Map::initial(LARGE).expect("built");
     assert!(map.layers.iter().all(|it| (0..384).all(|expert| it.replicas(Expert(expert)) == 1)));
-    assert!(Map::initial(Shape { slots: 1, ..LARGE }).is_err(), "192 slots cannot hold 384 experts");
+    assert!(
+        Map::initial(Shape { slots: 1, ..LARGE }).is_err(),
+        "192 slots cannot hold 384 experts"
+    );
 }
--- a/crates/sablepass-core/tests/draw.rs
+++ b/crates/sablepass-core/tests/draw.rs
@@ -65,7 +65,10 @@
 fn verify_small_groups_report_all_counts() {
     let all = |ranks| ReportPlan { ranks, draws: None };
     assert_eq!(draw::report_plan(16, 4, 64, 20.0, INTERVAL_MS), all(16));
-    assert_eq!(draw::report_plan(MAX_SAMPLED_RANKS, 12, 144, 8.0, INTERVAL_MS), all(MAX_SAMPLED_RANKS));
+    assert_eq!(
+        draw::report_plan(MAX_SAMPLED_RANKS, 12, 144, 8.0, INTERVAL_MS),
+        all(MAX_SAMPLED_RANKS)
+    );
     let large = draw::report_plan(MAX_SAMPLED_RANKS, 10, 384, 6.0, INTERVAL_MS);
     assert_eq!(large, ReportPlan { ranks: MAX_SAMPLED_RANKS, draws: Some(148) });
 }
--- a/crates/sablepass-core/tests/expert.rs
+++ b/crates/sablepass-core/tests/expert.rs
@@ -85,7 +85,10 @@
             else {
                 break;
             };
-            assert!(change.apply(&mut map.layers[0]), "best_change returned a change that cannot be applied");
+            assert!(
+                change.apply(&mut map.layers[0]),
+                "best_change returned a change that cannot be applied"
+            );
             // Decoding checks every constraint of a map.
             assert_eq!(Map::parse(SHAPE, &map.encode()).as_ref(), Ok(&map));
         }
@@ -177,7 +180,8 @@
 
 #[test]
 fn verify_quiet_hours_may_span_midnight() {
-    let hours: Vec<u8> = (0..24).filter(|hour| plan::in_quiet_hours(Some([22, 3]), *hour)).collect();
+    let hours: Vec<u8> =
+        (0..24).filter(|hour| plan::in_quiet_hours(Some([22, 3]), *hour)).collect();
     assert_eq!(hours, [0, 1, 2, 22, 23]);
     assert!(!plan::in_quiet_hours(None, 5));
 }
--- a/crates/sablepass-core/tests/foresight.rs
+++ b/crates/sablepass-core/tests/foresight.rs
@@ -62,8 +62,13 @@
             calibration.record_lag(rebalance::mean_lag(&map, demand, &Paces::default()));
         }
         let optimism = if calibrated { calibration.optimism() } else { 1.0 };
-        let options =
-            Options { copy_ms: 3.0, demand_ms: 4_000.0, expert_share: 0.8, optimism, ..Options::default() };
+        let options = Options {
+            copy_ms: 3.0,
+            demand_ms: 4_000.0,
+            expert_share: 0.8,
+            optimism,
+            ..Options::default()
+        };
         let demand = watch.demand().expect("counted");
         // A map takes three intervals to come into force.
         let due = at % 3 == 0;
--- a/crates/sablepass-core/tests/rebalance.rs
+++ b/crates/sablepass-core/tests/rebalance.rs
@@ -191,5 +191,8 @@
     assert!(backoff.is_active(1_200, 1.4) && backoff.is_active(2_649, 1.5));
     assert!(!backoff.is_active(2_650, 1.4), "the back-off has expired");
     assert!(!backoff.is_active(1_200, 1.52), "the lag grew by more than 8 %");
-    assert!(!SearchBackoff::start(1_000, 1_000, 1.4).is_active(1_000, 1.4), "a search that took no time needs no back-off");
+    assert!(
+        !SearchBackoff::start(1_000, 1_000, 1.4).is_active(1_000, 1.4),
+        "a search that took no time needs no back-off"
+    );
 }
