--- a/crates/sablepass-core/src/expert/draw.rs
+++ b/crates/sablepass-core/src/expert/draw.rs
@@ -120,9 +120,8 @@
         for (index, expert) in (0..).zip(&self.drawn) {
             let known = usize::from(*expert) < experts;
             ensure!(known, UnknownSnafu { expert: u64::from(*expert), experts });
-            let cumulative = |draws: u64| {
-                (u128::from(self.total) * u128::from(draws) / u128::from(drawn)) as u64
-            };
+            let cumulative =
+                |n: u64| (u128::from(self.total) * u128::from(n) / u128::from(drawn)) as u64;
             counts[usize::from(*expert)] += cumulative(index + 1) - cumulative(index);
         }
         Ok(counts)
