--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 
 use sablepass_core::expert::barrier::{Done, Member, Reading};
+use sablepass_core::expert::calibration::LagCalibration;
 use sablepass_core::expert::demand::{self, Demand};
-use sablepass_core::expert::foresight::Foresight;
 use sablepass_core::expert::map::{Bounds, Map};
-use sablepass_core::expert::rebalance::{self, Rest};
+use sablepass_core::expert::rebalance::{self, SearchBackoff};
 use sablepass_core::expert::watch::DemandMonitor;
 use sablepass_core::id::Millis;
 use sablepass_core::reason::Ignored;
@@ -129,7 +129,7 @@
     /// A map that was in force last, if it is known as a whole.
     base: Option<Base>,
     /// How even maps turn out, beside rank 0.
-    foresight: Foresight,
+    calibration: LagCalibration,
     /// Demand has shifted since the map in force came.
     outdated: bool,
     /// The map being prepared at the own rank.
@@ -139,7 +139,7 @@
     unanswered: Option<Millis>,
     proposed: Option<Proposed>,
     /// After a search that found no better map.
-    rest: Option<Rest>,
+    rest: Option<SearchBackoff>,
     /// Highest version known to be used up.
     highest: u64,
     /// What keeps the planner from planning, since when, and whether that was said.
@@ -176,7 +176,7 @@
             demand: None,
             watch: DemandMonitor::default(),
             base: None,
-            foresight: Foresight::default(),
+            calibration: LagCalibration::default(),
             outdated: false,
             wanted: None,
             ticks: 0,
@@ -222,7 +222,7 @@
     /// a group's first map is known before any counts are.
     pub fn lag(&self) -> Option<f64> {
         let group = self.group.as_ref().filter(|it| it.rank == 0 && it.open);
-        let first = group.filter(|it| it.reading.version == 0).map(|_| rebalance::FIRST_LAG);
+        let first = group.filter(|it| it.reading.version == 0).map(|_| rebalance::INITIAL_LAG);
         self.lag.filter(|_| self.is_active()).or(first)
     }
 
@@ -314,7 +314,7 @@
         self.lists = None;
         let bounds = self.bounds.as_ref();
         self.demand = bounds
-            .map(|it| Demand::open(group.size.into(), it.layers as usize, it.experts as usize));
+            .map(|it| Demand::new(group.size.into(), it.layers as usize, it.experts as usize));
     }
 
     fn measure(&mut self, now: Millis, step: u64) {
@@ -380,14 +380,14 @@
         if group.rank == 0 {
             if let (Some(demand), Some(chosen)) = (&mut self.demand, self.counts.advance(it.counts))
             {
-                demand.told(now, 0, &chosen);
+                demand.record(now, 0, &chosen);
             }
             return Vec::new();
         }
         let Some(planner) = self.ranks.get(&0).map(|it| it.peer) else { return Vec::new() };
         if self.told != Some(planner) {
             self.told = Some(planner);
-            self.counts.restart();
+            self.counts.reset();
         }
         let chosen = self.counts.advance(it.counts).unwrap_or_default();
         let tally = match chosen.is_empty() {
@@ -434,7 +434,7 @@
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0 && it.open);
         if planner {
             if let Some(demand) = &mut self.demand {
-                demand.mark(now);
+                demand.snapshot(now);
             }
             list.extend(self.try_switch(now));
             list.extend(self.plan(now));
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -7,7 +7,7 @@
 use sablepass_core::expert::barrier::{Member, Plan};
 use sablepass_core::expert::difference;
 use sablepass_core::expert::map::{Bounds, Paces};
-use sablepass_core::expert::rebalance::{self, Rest};
+use sablepass_core::expert::rebalance::{self, SearchBackoff};
 use sablepass_core::id::Millis;
 use sablepass_edge::clock;
 use sablepass_wire::generated as wire;
@@ -121,7 +121,7 @@
                 "step" => self.group.as_ref().map(|it| it.reading.step));
             self.rest = None;
             self.outdated = true;
-            self.foresight.shifted();
+            self.calibration.demand_shifted();
         }
         self.weigh();
         self.judge(now);
@@ -173,8 +173,15 @@
         let old = self.map_in_force().filter(|_| self.running < IDLE)?;
         let map = rebalance::fill(spare, old)?;
         let lag = self.lag.unwrap_or(1.0);
-        let (moves, copies) = (map.moves_from(old), spare * old.layers.len());
-        Some(rebalance::Change { map, before: lag, after: lag, moves, copies, saved: 0.0 })
+        let (moves, max_copies) = (map.moves_from(old), spare * old.layers.len());
+        Some(rebalance::Change {
+            map,
+            lag_before: lag,
+            lag_after: lag,
+            moves,
+            max_copies,
+            saved_ms: 0.0,
+        })
     }
 
     /// Why the map that is proposed can no longer be of use, if so.
@@ -240,16 +247,16 @@
         let bounds = self.bounds.as_ref()?;
         let options = rebalance::Options {
             spare: bounds.spare as usize,
-            copy: f64::from(bounds.copy) / MICROS,
-            part: self.expert_part(bounds),
-            life: self.watch.expected_remaining_ms(now),
-            optimism: self.foresight.optimism(),
+            copy_ms: f64::from(bounds.copy) / MICROS,
+            expert_share: self.expert_part(bounds),
+            demand_ms: self.watch.expected_remaining_ms(now),
+            optimism: self.calibration.optimism(),
             ..rebalance::Options::default()
         };
         let map = self.map_in_force()?;
         let change = rebalance::decide(&options, map, self.watch.demand()?, &self.paces());
         if change.is_none() {
-            self.rest = self.lag.map(|lag| Rest::begin(now, clock::now(), lag));
+            self.rest = self.lag.map(|lag| SearchBackoff::start(now, clock::now(), lag));
         }
         change
     }
@@ -257,16 +264,16 @@
     /// Whether a search just now found nothing, and nothing speaks for another.
     fn rests(&self, now: Millis) -> bool {
         let rest = self.rest.as_ref().zip(self.lag);
-        rest.is_some_and(|(rest, lag)| rest.lasts(now, lag))
+        rest.is_some_and(|(rest, lag)| rest.is_active(now, lag))
     }
 
     /// Compares the map in force with what was worked out for it.
     fn judge(&mut self, now: Millis) {
-        let Some(lag) = self.lag.filter(|_| self.foresight.is_due(now)) else { return };
-        self.foresight.judge(lag);
+        let Some(lag) = self.lag.filter(|_| self.calibration.is_due(now)) else { return };
+        self.calibration.record_lag(lag);
         slog::info!(self.log, "map judged"; "lag" => lag,
             "version" => self.group.as_ref().map(|it| it.reading.version),
-            "optimism" => self.foresight.optimism());
+            "optimism" => self.calibration.optimism());
     }
 
     /// Works out the lag of the map in force, where all ranks told what they hold.
@@ -305,8 +312,8 @@
         let Some(group) = &self.group else { return Vec::new() };
         let version = self.highest.max(group.reading.version) + 1;
         slog::info!(self.log, "map proposed"; "version" => version, "epoch" => group.reading.epoch,
-            "skew" => change.before, "expected" => change.after, "moves" => change.moves,
-            "copies" => change.copies, "saved" => change.saved, "cause" => cause.label(),
+            "skew" => change.lag_before, "expected" => change.lag_after, "moves" => change.moves,
+            "copies" => change.max_copies, "saved" => change.saved_ms, "cause" => cause.label(),
             "running" => self.running, "paces" => ?self.paces());
         self.metrics.expert_copies.with_label_values(&[cause.label()]).inc_by(change.moves as u64);
         let Some(old) = &self.base else { return Vec::new() };
@@ -320,9 +327,9 @@
             digest: change.map.digest(),
         };
         let copying = self.bounds.map_or(0.0, |it| f64::from(it.copy) / MICROS);
-        let copying = copying * change.copies as f64 * PREPARE_TIMES;
+        let copying = copying * change.max_copies as f64 * PREPARE_TIMES;
         let until = now + copying as Millis + PREPARE_MORE;
-        self.proposed = Some(Proposed { version, until, switching: false, lag: change.after });
+        self.proposed = Some(Proposed { version, until, switching: false, lag: change.lag_after });
         let mut list = self.pass_on(&proposal);
         list.extend(self.prepare(version, change.map.clone()));
         list
@@ -341,7 +348,7 @@
         let others = self.ranks.values().filter(ready).count();
         let all = group.reading.prepared == Some(version) && others + 1 == usize::from(group.size);
         if group.reading.version >= version {
-            self.foresight.in_force(now, it.lag);
+            self.calibration.map_applied(now, it.lag);
             self.outdated = false;
             self.proposed = None;
             return Vec::new();
--- a/crates/sablepass-core/src/expert/watch.rs
+++ b/crates/sablepass-core/src/expert/watch.rs
@@ -135,6 +135,6 @@
 /// Returns the distance between two demands in the layer in which they differ most:
 /// 0 for the same mix of experts, 1 at most.
 fn distance(a: &[Vec<f64>], b: &[Vec<f64>]) -> f64 {
-    let layers = a.iter().zip(b).map(|(a, b)| 1.0 - demand::likeness(a, b));
+    let layers = a.iter().zip(b).map(|(a, b)| 1.0 - demand::cosine_similarity(a, b));
     layers.fold(0.0, f64::max)
 }
