--- a/crates/sablepass-core/src/config.rs
+++ b/crates/sablepass-core/src/config.rs
@@ -1,20 +1,19 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The configuration that a process holds, and how two processes agree on it.
+//! The replicated configuration store of a process, and the exchange by which two stores converge.
 //!
-//! Documents carry the platform's revisions. Whoever holds revision R holds
-//! every document up to R, so a peer's delta after R makes the receiver as
-//! complete as the peer. Each document keeps its last accepted version
-//! beside its newest one, so a bad edit loses nothing.
+//! Documents carry the revisions of the platform's service. A store at revision R contains every
+//! document up to R, so a peer's delta after R makes the receiver as complete as the peer. Each
+//! document keeps its last accepted version beside its newest one, so that an invalid edit does not
+//! take the accepted version out of force.
 //!
-//! A revision says what to read next. Which of two versions of a document is
-//! the newer one is said by the number that its operator gave it, and by the
-//! revision only where there is none: a service that was restored from a copy
-//! lists an earlier version at a later [`Revision`]. What such a service does
-//! not list may be what it lost, so a document of an earlier era stays until
-//! it is removed in the present one; an instance is dropped, and is back when
-//! it writes its line again.
+//! A revision tells where to continue reading. Which of two versions of a document is newer is
+//! decided by the version number that its operator assigned, and by the revision only if there is
+//! none: a service restored from a backup lists an earlier version at a later [`Revision`]. A
+//! document that a restored service does not list may have been lost by the restore, so a document
+//! of an earlier era stays until it is removed in the present one. An instance is dropped instead,
+//! and is listed again when it next writes its line.
 
 use std::collections::BTreeMap;
 
@@ -36,7 +35,7 @@
 /// One version of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Version {
-    /// The platform's revision of this version.
+    /// The platform's revision at which this version was written.
     pub revision: Revision,
     /// TOML text.
     pub body: String,
@@ -45,13 +44,13 @@
 /// A document as published, with its last accepted version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Document {
-    /// Path in the platform's service; its first part names the partner.
+    /// Path in the platform's service; the first segment names the partner.
     pub key: String,
-    /// The newest version seen.
+    /// The newest version received.
     pub newest: Version,
     /// Whether the newest version is a removal.
     pub removed: bool,
-    /// The last version that was accepted, when the newest one is refused.
+    /// The last accepted version, if the newest one is refused.
     pub accepted: Option<Version>,
 }
 
@@ -62,33 +61,35 @@
     }
 }
 
-/// What a process tells its peers of what it holds.
+/// Summary of a store, which a process sends to its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest {
-    /// Highest revision held.
+    /// Highest revision of the store.
     pub revision: Revision,
-    /// Hash of all keys, revisions held, and revisions in force; of the instance list, of what its lines say.
+    /// Declarations: hash of all keys with their newest revision and the revision in force.
+    /// Instance list: hash of the content of its lines.
     pub hash: u64,
-    /// Whoever holds less than this revision has to be told by comparison.
+    /// A peer below this revision can't be sent the changes; it must compare the full content.
     pub since: Revision,
 }
 
-/// What a process asks a peer for.
+/// Request to a peer for the changes after a revision, or for a comparison.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pull {
-    /// The revision held.
+    /// Revision of the requesting store.
     pub after: Revision,
-    /// What is held, for a comparison.
+    /// Hashes of the requesting store's instance list, for a comparison.
     pub parts: Option<Parts>,
 }
 
-/// What a delta is besides changes.
+/// Marks a delta that lists the complete content, rather than changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Whole {
-    /// All that there is: what it does not name is gone. Since this revision the sender
-    /// knows of each removal.
+    /// The complete store: a document that is not named does not exist. The sender has every
+    /// removal after this revision.
     All(Revision),
-    /// The same of these parts, which differed from what the receiver held by this hash.
+    /// The complete content of these parts of the instance list. The hash is that of the receiver's
+    /// list which the sender compared with its own.
     Parts(Mask, u64),
 }
 
@@ -101,41 +102,41 @@
     }
 }
 
-/// Documents changed after a revision, up to another; or all that there are.
+/// The documents changed after one revision and up to another, or the complete content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta {
-    /// The receiver must hold at least this revision.
+    /// The receiver's store must be at this revision or later.
     pub after: Revision,
-    /// What the receiver holds afterwards.
+    /// Revision of the receiver's store afterwards.
     pub revision: Revision,
-    /// The changed documents.
+    /// The changed documents, or all of them.
     pub documents: Vec<Document>,
-    /// Set where the documents are not changes, but what there is.
+    /// Set if the documents are the complete content rather than changes.
     pub whole: Option<Whole>,
 }
 
-/// What a peer's digest asks for.
+/// Action that follows from comparing with a peer's digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compare {
-    /// Nothing to do.
+    /// Both stores are equal.
     Same,
-    /// The peer is ahead: pull this from it.
+    /// The peer is ahead, or differs at the same revision: send it this pull.
     Pull(Pull),
-    /// The peer is behind: it will pull when it hears of us.
+    /// The peer is behind; it pulls when it receives this process's digest.
     Behind,
 }
 
-/// What a store holds.
+/// Kind of content of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum What {
-    /// Declarations, which are checked before they are in force.
+    /// Declarations, which are validated before they come into force.
     Declarations = 0,
-    /// The instance list, which is taken as it is.
+    /// The instance list, whose lines are stored without validation.
     Instances = 1,
 }
 
 impl What {
-    /// Reads a number from the wire.
+    /// Decodes the number used on the wire.
     pub fn parse(code: u32) -> Option<Self> {
         match code {
             0 => Some(Self::Declarations),
@@ -145,32 +146,32 @@
     }
 }
 
-/// The store of one process.
+/// The configuration store of one process, of one kind of content.
 #[derive(Debug)]
 pub struct Store {
     what: What,
     check: Check,
     revision: Revision,
-    /// What was there at this revision is held, by lines that may have older ones; what came
-    /// and went before it left no trace here. Of what is later each change is held.
+    /// Everything that existed at this revision is stored, possibly at lower revisions; items
+    /// removed before it left no trace. Every change after it is stored, removals included.
     since: Revision,
     documents: BTreeMap<String, Document>,
-    /// Of the instances that are there.
+    /// Hashes of the listed instances.
     parts: Parts,
-    /// Of the instances that were there.
+    /// Recent removals of instances.
     removals: Removals,
     verdicts: BTreeMap<String, Verdict>,
-    /// Documents not taken since this was last asked for.
+    /// Versions rejected since the last call of `take_rejected`.
     rejected: Vec<Rejected>,
 }
 
 impl Store {
-    /// Opens an empty store of documents in this project's own form.
+    /// Opens an empty store whose documents are in this project's own format.
     pub fn open(what: What) -> Self {
         Self::open_with(what, declaration::check)
     }
 
-    /// Opens an empty store of documents in another form.
+    /// Opens an empty store whose documents are in another format, validated by `check`.
     pub fn open_with(what: What, check: Check) -> Self {
         Self {
             what,
@@ -185,40 +186,41 @@
         }
     }
 
-    /// Highest revision held.
+    /// Highest revision of the store.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The documents that were not taken since this was last called.
+    /// Takes the document versions that were rejected since the last call.
     pub fn take_rejected(&mut self) -> Vec<Rejected> {
         std::mem::take(&mut self.rejected)
     }
 
-    /// A document, or its removal.
+    /// The document with this key; a removed one is returned with `removed` set.
     pub fn get(&self, key: &str) -> Option<&Document> {
         self.documents.get(key)
     }
 
-    /// All documents by key, removals included.
+    /// All documents ordered by key, removed ones included.
     pub fn documents(&self) -> impl Iterator<Item = &Document> {
         self.documents.values()
     }
 
-    /// What became of each document, by key. Instances are not judged.
+    /// Validation results by document key; empty for the instance list, which is not validated.
     pub fn verdicts(&self) -> &BTreeMap<String, Verdict> {
         &self.verdicts
     }
 
-    /// What is held, in short: all keys with their newest revision and the
-    /// one in force. Without the latter, a process that never saw the last
-    /// accepted version of a badly edited document would not notice.
+    /// Digest of the store. For declarations the hash covers the revision in force as well as the
+    /// newest one: otherwise a process that never received the last accepted version of a document
+    /// with an invalid edit would not detect the difference.
     pub fn digest(&self) -> Digest {
         let hash = match self.what {
             What::Instances => self.parts.hash(),
             What::Declarations => {
-                let line =
-                    |it: &Document| (it.key.clone(), it.newest.revision, self.force(&it.key));
+                let line = |it: &Document| {
+                    (it.key.clone(), it.newest.revision, self.revision_in_force(&it.key))
+                };
                 let held: Vec<(String, Revision, Option<Revision>)> =
                     self.documents.values().map(line).collect();
                 rendezvous::stable_hash(&held)
@@ -227,12 +229,12 @@
         Digest { revision: self.revision, hash, since: self.since }
     }
 
-    /// Revision in force of a document.
-    fn force(&self, key: &str) -> Option<Revision> {
+    fn revision_in_force(&self, key: &str) -> Option<Revision> {
         self.verdicts.get(key)?.force.as_ref().map(|it| it.0)
     }
 
-    /// Compares with a peer's digest.
+    /// Compares this store with a peer's digest. A different hash at the same revision is returned
+    /// as [`Ignored::HashMismatch`] along with the pull.
     pub fn compare(&self, peer: Digest) -> (Compare, Option<Ignored>) {
         if peer.revision > self.revision {
             return (Compare::Pull(self.pull(peer.since > self.revision)), None);
@@ -246,7 +248,8 @@
         (Compare::Pull(self.pull(true)), Some(Ignored::HashMismatch))
     }
 
-    /// What to ask for: what changed since, or all that differs.
+    /// Builds a pull: for the changes after this store's revision, or, if `all` is set, for
+    /// everything that differs.
     pub fn pull(&self, all: bool) -> Pull {
         match (self.what, all) {
             (_, false) => Pull { after: self.revision, parts: None },
@@ -257,10 +260,11 @@
         }
     }
 
-    /// What a peer lacks, in order of revision and in parts of about `limit` bytes. Each
-    /// part makes the receiver complete up to its revision, so the parts need not arrive
-    /// together. A peer that may hold what was gone before this process knew of removals has
-    /// to compare, and gets the parts of the list that differ at once.
+    /// Answers a pull with the changes that the peer lacks, in order of revision, in deltas of
+    /// about `limit` bytes. Each delta makes the receiver complete up to its own revision, so they
+    /// need not arrive together. Removals before `since` are unknown here, so a peer below that
+    /// revision has to compare: it is sent all declarations, or the differing parts of the instance
+    /// list.
     pub fn deltas(&self, pull: &Pull, limit: usize) -> Vec<Delta> {
         let after = pull.after;
         if let Some(parts) = &pull.parts {
@@ -273,7 +277,7 @@
                     let whole = Some(Whole::All(self.since));
                     vec![Delta { after, revision: self.revision, documents, whole }]
                 }
-                // It asked before it knew; the next digest tells it.
+                // The peer pulled before it knew of `since`; after the next digest it compares.
                 What::Instances => Vec::new(),
             };
         }
@@ -301,18 +305,19 @@
         deltas
     }
 
-    /// What this process holds of the parts in which it differs from a peer.
+    /// The content of the parts of the instance list in which this store differs from a peer's
+    /// hashes.
     fn difference(&self, after: Revision, parts: &Parts) -> Delta {
         let mask = self.parts.differing(parts);
-        let there = self.documents.values().filter(|it| !it.removed && mask.has(&it.key));
-        let documents = there.cloned().collect();
+        let listed = self.documents.values().filter(|it| !it.removed && mask.has(&it.key));
+        let documents = listed.cloned().collect();
         let whole = Some(Whole::Parts(mask, parts.hash()));
         Delta { after, revision: self.revision, documents, whole }
     }
 
-    /// Takes a delta in. True if any content changed. The parts of a full copy
-    /// may be older than what is held and still bring an accepted version;
-    /// one that brings nothing is old.
+    /// Merges a delta. Returns whether any content changed. A complete listing of declarations may
+    /// be older than the store and still contain a newer accepted version; if it changes nothing,
+    /// it is rejected as old.
     pub fn merge(&mut self, mut delta: Delta) -> Result<bool, Ignored> {
         if delta.after > self.revision {
             return Err(Ignored::DeltaGap);
@@ -321,7 +326,7 @@
             if self.what == What::Instances {
                 return self.replace(delta, whole);
             }
-            self.complete(&mut delta);
+            self.add_implied_removals(&mut delta);
         }
         let old = delta.revision < self.revision;
         let first = self.revision == Revision::default() && delta.revision > self.revision;
@@ -329,7 +334,7 @@
         for document in delta.documents {
             changed |= self.put(document);
         }
-        // What came and went between the two revisions is not known here.
+        // Items added and removed between the two revisions are unknown.
         if let Some(Whole::All(since)) = delta.whole
             && since > self.revision
         {
@@ -342,13 +347,15 @@
         Ok(changed)
     }
 
-    /// Whether what is held says the same.
-    pub(super) fn holds(&self, it: &Document) -> bool {
-        let held = self.documents.get(&it.key);
-        held.is_some_and(|held| held.removed == it.removed && held.newest.body == it.newest.body)
+    /// Whether the stored document has the same content, whatever its revision.
+    pub(super) fn has_same_content(&self, document: &Document) -> bool {
+        let held = self.documents.get(&document.key);
+        held.is_some_and(|held| {
+            held.removed == document.removed && held.newest.body == document.newest.body
+        })
     }
 
-    /// Takes a document or line in. True if that changed what is held.
+    /// Merges a document or a line of the instance list. Returns whether the content changed.
     fn put(&mut self, document: Document) -> bool {
         match self.what {
             What::Declarations => self.put_document(document),
--- a/crates/sablepass-core/src/config/documents.rs
+++ b/crates/sablepass-core/src/config/documents.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! How a store takes declarations in: which version of a document is the newer
-//! one, and which documents are gone.
+//! Merging of declarations into a store: which version of a document is the newer one, and which
+//! documents were removed.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -11,27 +11,27 @@
 use crate::config::{Delta, Document, Store, Version};
 use crate::revision::Revision;
 
-/// Versions not taken that are remembered until somebody asks for them.
-const MOST_REJECTED: usize = 64;
+/// Rejected versions kept until the next `take_rejected`; further ones are dropped.
+const MAX_REJECTED: usize = 64;
 
-/// A version of a document that is not taken: its operator's number is lower than that of
-/// the one in force, or it is a copy of the line of an instance that left.
+/// A version that a store rejected: the operator's version number is lower than that of the version
+/// in force, or it is the line of a removed instance from a restored backup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected {
-    /// The document.
+    /// Key of the document or line.
     pub key: String,
-    /// Revision of the version.
+    /// Revision of the rejected version.
     pub revision: Revision,
-    /// Its number.
+    /// Version number assigned by the operator, if any.
     pub version: Option<u64>,
 }
 
 impl Store {
-    /// Makes a delta out of everything that there is: what is held, is not
-    /// named and is not newer is removed. What was gone already may have been
-    /// back meanwhile, for those who hold more of its history: it is gone again.
-    /// Only a read of the present era shows that a document of that era is gone.
-    pub(super) fn complete(&self, delta: &mut Delta) {
+    /// Adds removals to a complete listing: for each stored document that the listing neither names
+    /// nor predates. A document already removed here is marked again at the later revision, since a
+    /// peer with more of the history may have seen it return meanwhile. A listing shows only that
+    /// documents of its own era are gone.
+    pub(super) fn add_implied_removals(&self, delta: &mut Delta) {
         let Revision { era, .. } = delta.revision;
         if era < self.revision.era {
             return;
@@ -54,9 +54,9 @@
     pub(super) fn put_document(&mut self, mut document: Document) -> bool {
         let Version { revision, .. } = document.newest;
         let held = self.documents.get(&document.key).map(|it| it.newest.revision);
-        let read = revision.era == self.since.era && revision <= self.since;
-        if held.is_none() && read {
-            // Everything was read later than that.
+        let covered = revision.era == self.since.era && revision <= self.since;
+        if held.is_none() && covered {
+            // Already covered by a complete listing at a later revision.
             return false;
         }
         if held == Some(revision) {
@@ -64,7 +64,7 @@
         }
         let verdict = self.judge(&mut document);
         let known = self.verdicts.get(&document.key);
-        let newer = match known.and_then(|it| verdict.numbered(it)) {
+        let newer = match known.and_then(|it| verdict.compare_versions(it)) {
             Some(Ordering::Less) => {
                 let version = verdict.force.and_then(|it| it.1.version);
                 self.reject(Rejected { key: document.key, revision, version });
@@ -77,21 +77,21 @@
             return false;
         }
         let accepted = self.documents.get(&document.key).and_then(|it| it.accepted.as_ref());
-        // What is written again at another revision is no change.
-        let changed = !self.holds(&document) || accepted != document.accepted.as_ref();
+        // A rewrite with the same content at another revision is not a change.
+        let changed = !self.has_same_content(&document) || accepted != document.accepted.as_ref();
         self.verdicts.insert(document.key.clone(), verdict);
         self.insert(document);
         changed
     }
 
-    pub(super) fn reject(&mut self, it: Rejected) {
-        if self.rejected.len() < MOST_REJECTED {
-            self.rejected.push(it);
+    pub(super) fn reject(&mut self, rejected: Rejected) {
+        if self.rejected.len() < MAX_REJECTED {
+            self.rejected.push(rejected);
         }
     }
 
-    /// Takes a peer's last accepted version of a document whose newest one is
-    /// held and refused, if that is newer than what is in force here.
+    /// Adopts a peer's last accepted version of a document whose newest version is stored here and
+    /// refused, if the peer's is newer than the version in force.
     fn adopt(&mut self, document: &Document) -> bool {
         let Some(held) = self.documents.get(&document.key) else { return false };
         if document.accepted.is_none() || document.accepted == held.accepted {
@@ -108,8 +108,8 @@
         true
     }
 
-    /// Judges a document that takes over from the one held. What that one had
-    /// in force stays so while the new one is refused.
+    /// Validates a document that replaces the stored one. If it is refused, the version in force
+    /// stays and is recorded as its last accepted version.
     fn judge(&self, document: &mut Document) -> Verdict {
         let verdict = Verdict::of(document, self.check);
         let (Some(older), Some(known)) =
--- a/crates/sablepass-core/src/config/list.rs
+++ b/crates/sablepass-core/src/config/list.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! How a store takes lines of the instance list in.
+//! Merging of lines of the instance list into a store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,20 +11,21 @@
 use crate::reason::Ignored;
 use crate::revision::Revision;
 
-/// What became of a removal that a peer told.
+/// Result of merging a removal that a peer reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It was known, or the instance has written its line since.
+    /// The removal was known, or the instance has written its line since.
     Known,
-    /// It was not known.
+    /// The removal was new, and the instance was not listed.
     New,
-    /// The instance was still listed, and is not any more.
+    /// The instance was listed; its line is now removed.
     Listed,
 }
 
 impl Store {
-    /// Takes in what there is of some parts of the list. True if any line changed. A line that says the same keeps
-    /// its revision, and is told to no peer: whoever is behind this revision compares.
+    /// Merges the complete content of some parts of the list. Returns whether any line changed. A
+    /// line with the same content counts as unchanged and is not forwarded: a peer that is behind
+    /// this revision compares instead.
     pub(super) fn replace(&mut self, delta: Delta, whole: Whole) -> Result<bool, Ignored> {
         let other = matches!(whole, Whole::Parts(_, of) if of != self.parts.hash());
         if delta.revision < self.revision || other {
@@ -43,10 +44,11 @@
             changed = true;
         }
         for document in delta.documents {
-            let same = self.holds(&document);
+            let same = self.has_same_content(&document);
             let held = self.documents.get_mut(&document.key);
             if same && let Some(held) = held {
-                // Only a line of the present era can be told from a copy of one that left.
+                // The later revision is kept: only a line of the present era is distinguishable
+                // from a removed instance's line in a restored backup.
                 held.newest.revision = held.newest.revision.max(document.newest.revision);
                 continue;
             }
@@ -64,12 +66,12 @@
         }
         self.revision = delta.revision;
         self.since = delta.revision;
-        // Whoever is told of these by comparison has no use for them.
+        // Peers that compare don't need these removals.
         self.documents.retain(|_, it| !it.removed || it.newest.revision > delta.revision);
         Ok(changed)
     }
 
-    /// Whether a line is to be taken.
+    /// Whether a line is accepted; a line of a removed instance is rejected.
     fn admits(&mut self, line: &Document) -> bool {
         let Version { revision, .. } = line.newest;
         let admits = self.removals.admits(&line.key, revision);
@@ -79,14 +81,14 @@
         admits
     }
 
-    /// Takes what a peer tells of an instance that was removed.
+    /// Merges the removal of an instance, at revision `at`, that a peer reported.
     pub fn take_removal(&mut self, key: &str, at: Revision) -> Taken {
         let held = self.documents.get(key).filter(|it| !it.removed);
         let Some(line) = held.map(|it| it.newest.revision) else {
             let new = self.removals.record(key, at);
             return if new { Taken::New } else { Taken::Known };
         };
-        if line >= at && !self.removals.is_copy(line, at) {
+        if line >= at && !self.removals.is_from_backup(line, at) {
             return Taken::Known;
         }
         self.remove(key);
@@ -94,28 +96,28 @@
         Taken::Listed
     }
 
-    /// The removals that are remembered, with their revisions.
+    /// The removals kept, with their revisions.
     pub fn removals(&self) -> impl Iterator<Item = (&str, Revision)> {
         self.removals.iter()
     }
 
-    /// Takes how early in an era a peer knows the list to have been read. True if lines that
-    /// were taken for copies may be none.
+    /// Merges the earliest revision of an era at which a peer knows the list to have been read.
+    /// Returns true if lines that were rejected as coming from a backup may be live after all.
     pub fn hear_beginning(&mut self, read: Revision) -> bool {
         self.removals.begin(read) && self.removals.iter().next().is_some()
     }
 
-    /// The earliest revision of the present era at which anybody is known to have read.
+    /// The earliest known revision of the present era at which any process read the list.
     pub fn beginning(&self) -> Revision {
         self.removals.began()
     }
 
-    /// What is held of some parts, is not named and is not newer.
+    /// Keys of listed instances in some parts that a complete listing neither names nor predates.
     fn unnamed(&self, delta: &Delta, mask: Mask) -> Vec<String> {
         let named: BTreeSet<&str> = delta.documents.iter().map(|it| it.key.as_str()).collect();
         let gone = |it: &&Document| {
-            let there = !it.removed && it.newest.revision < delta.revision;
-            there && mask.has(&it.key) && !named.contains(it.key.as_str())
+            let older = !it.removed && it.newest.revision < delta.revision;
+            older && mask.has(&it.key) && !named.contains(it.key.as_str())
         };
         self.documents.values().filter(gone).map(|it| it.key.clone()).collect()
     }
@@ -134,19 +136,17 @@
         }
     }
 
-    /// Leaves out of a watch's answer the instances that say the same as what is
-    /// held: each target writes its line anew with every heartbeat, and a line
-    /// that is left out keeps its revision and is told to no peer. That is sound
-    /// only where *all* changes of a line since then say the same. Where one says
-    /// something else, as that a target left, the last one counts: it may be back
-    /// as it was, and a peer that learnt of its leaving learns of its return only
-    /// by a later revision. A read of everything, which does not show what was
-    /// in between, is not trimmed.
+    /// Drops from a watch response the lines whose content equals that of the store: each target
+    /// rewrites its line with every heartbeat, and a dropped line keeps its revision and is not
+    /// forwarded to peers. A line is dropped only if *all* its changes in the response have that
+    /// content. If one differs, such as a removal, the last change is kept even if it restores the
+    /// stored content: a peer that received the removal learns of the return only by a later
+    /// revision. A complete listing does not show the changes in between and is not trimmed.
     pub fn trim(&self, delta: &mut Delta) {
         if self.what != What::Instances || delta.whole.is_some() {
             return;
         }
-        let other = |it: &&Document| !self.holds(it);
+        let other = |it: &&Document| !self.has_same_content(it);
         let mut last: BTreeMap<String, Revision> = BTreeMap::new();
         for it in delta.documents.iter().filter(other) {
             last.insert(it.key.clone(), Revision::default());
@@ -161,10 +161,10 @@
 
     pub(super) fn put_line(&mut self, line: Document) -> bool {
         let Version { revision, .. } = line.newest;
-        // Everything was read later than that.
-        let read = revision <= self.since;
+        // Already covered by a complete listing at a later revision.
+        let covered = revision <= self.since;
         let held = self.documents.get(&line.key).map(|it| it.newest.revision);
-        if read || held >= Some(revision) {
+        if covered || held >= Some(revision) {
             return false;
         }
         if line.removed {
--- a/crates/sablepass-core/src/config/removals.rs
+++ b/crates/sablepass-core/src/config/removals.rs
@@ -1,33 +1,33 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Instances that were removed from the list lately.
+//! Recent removals from the instance list.
 //!
-//! A service that is restored from a copy lists instances again that have left since. Their
-//! lines are not taken until they are written anew, as those of live instances are. A process
-//! that did not see an instance leave takes such a line for a live one, so processes tell each
-//! other of removals, and how early in the present era anybody read the list: what was written
-//! later than that is no copy.
+//! A service restored from a backup lists instances that have left since. Their lines are rejected
+//! until they are written again, as live instances do. A process that did not see an instance leave
+//! would accept such a line, so processes exchange their removals, and the earliest revision of the
+//! present era at which any of them read the list: a line written after that revision is not from
+//! the backup.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::revision::Revision;
 
-/// Removals remembered. Copies are some seconds old, and far fewer instances leave within
-/// that time.
-const MOST: usize = 1_024;
+/// Removals kept. A backup is some seconds old, and far fewer instances leave within that time.
+const MAX_REMOVALS: usize = 1_024;
 
-/// The removals, oldest first where there is no room for all.
+/// Recent removals by key; beyond `MAX_REMOVALS` the oldest is dropped.
 #[derive(Debug, Default)]
 pub struct Removals {
     removals: BTreeMap<String, Revision>,
     order: BTreeSet<(Revision, String)>,
-    /// The earliest revision of the latest era at which anybody is known to have read.
+    /// Earliest known revision of the latest era at which any process read the list.
     began: Revision,
 }
 
 impl Removals {
-    /// Records that an instance was removed at a revision. Whether that is new.
+    /// Records that an instance was removed at a revision. Returns false if this or a later removal
+    /// is known.
     pub fn record(&mut self, key: &str, at: Revision) -> bool {
         if self.removals.get(key) >= Some(&at) {
             return false;
@@ -35,7 +35,7 @@
         self.forget(key);
         self.removals.insert(key.to_owned(), at);
         self.order.insert((at, key.to_owned()));
-        if self.removals.len() > MOST
+        if self.removals.len() > MAX_REMOVALS
             && let Some((_, oldest)) = self.order.pop_first()
         {
             self.removals.remove(&oldest);
@@ -43,8 +43,9 @@
         true
     }
 
-    /// Records that somebody read the list at a revision. True if that is the earliest known
-    /// of its era, so that lines which were taken for copies may be none.
+    /// Records that a process read the list at a revision. Returns true if that is earlier than
+    /// known so far in the same era, so that lines rejected as coming from a backup may be live
+    /// after all.
     pub fn begin(&mut self, read: Revision) -> bool {
         let earlier = read.era == self.began.era && read < self.began;
         if earlier || read.era > self.began.era {
@@ -53,7 +54,7 @@
         earlier
     }
 
-    /// The earliest revision of the latest era at which anybody is known to have read.
+    /// The earliest known revision of the latest era at which any process read the list.
     pub fn began(&self) -> Revision {
         self.began
     }
@@ -63,19 +64,21 @@
         self.removals.iter().map(|(key, at)| (key.as_str(), *at))
     }
 
-    /// Whether a line is a copy of one from before a removal. A line that the copy has in
-    /// common with what was held before keeps its revision of an earlier era.
-    pub fn is_copy(&self, line: Revision, removal: Revision) -> bool {
+    /// Whether a line dates from before a removal and was listed again by a restored backup. A line
+    /// that was unchanged by the restore keeps its revision of an earlier era, and is compared with
+    /// the removal directly.
+    pub fn is_from_backup(&self, line: Revision, removal: Revision) -> bool {
         if line.era < self.began.era {
             return line < removal;
         }
         line.era > removal.era && line <= self.began
     }
 
-    /// Whether a line is to be taken: its instance was not removed, or has written it since.
+    /// Whether a line is accepted: its instance was not removed, or has written the line since. In
+    /// that case the removal is forgotten.
     pub fn admits(&mut self, key: &str, line: Revision) -> bool {
         let removed = self.removals.get(key);
-        let admits = removed.is_none_or(|at| !self.is_copy(line, *at));
+        let admits = removed.is_none_or(|at| !self.is_from_backup(line, *at));
         if admits {
             self.forget(key);
         }
--- a/crates/sablepass-core/src/config/verdict.rs
+++ b/crates/sablepass-core/src/config/verdict.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What becomes of a document when it arrives.
+//! Validation of a document when it arrives.
 
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -10,16 +10,16 @@
 use crate::declaration::{self, Declarations};
 use crate::revision::Revision;
 
-/// What became of a document, found once when it arrived.
+/// Result of validating a document, computed once when it arrives.
 #[derive(Debug)]
 pub struct Verdict {
-    /// Revision in force, and what it declares.
+    /// The revision in force and its declarations.
     pub force: Option<(Revision, Rc<Declarations>)>,
-    /// Why the newest version is refused.
+    /// Reason why the newest version is refused.
     pub refused: Option<declaration::Error>,
 }
 
-/// Reads and judges the text of a document, given its key.
+/// Parses and validates a document, given its key and its text.
 pub type Check = fn(&str, &str) -> declaration::Result<Declarations>;
 
 impl Verdict {
@@ -41,17 +41,18 @@
         }
     }
 
-    /// Which of two verdicts on a document has the newer declarations in force, where their
-    /// operator numbered both.
-    pub(super) fn numbered(&self, other: &Self) -> Option<Ordering> {
+    /// Compares the operator's version numbers of the declarations in force; `None` unless both
+    /// have one.
+    pub(super) fn compare_versions(&self, other: &Self) -> Option<Ordering> {
         let number = |it: &Self| it.force.as_ref()?.1.version;
         Some(number(self)?.cmp(&number(other)?))
     }
 
-    /// Whether this one has newer declarations in force.
+    /// Whether this document's declarations in force are newer than the other's: by version number,
+    /// then by revision.
     pub(super) fn supersedes(&self, other: &Self) -> bool {
         let revision = |it: &Self| it.force.as_ref().map(|it| it.0);
-        let numbered = self.numbered(other).unwrap_or(Ordering::Equal);
-        numbered.then(revision(self).cmp(&revision(other))).is_gt()
+        let versions = self.compare_versions(other).unwrap_or(Ordering::Equal);
+        versions.then(revision(self).cmp(&revision(other))).is_gt()
     }
 }
