--- a/crates/sablepass-core/src/config/parts.rs
+++ b/crates/sablepass-core/src/config/parts.rs
@@ -1,19 +1,19 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The instance list in parts, each with a hash of what it says, so that two processes find
-//! what differs by a kilobyte and tell each other no more than that.
+//! Hashes of the instance list, one for each of a fixed number of parts, so that two processes find
+//! their differences by exchanging 1 KB and send only the parts that differ.
 //!
-//! The hashes go by what lines say, not by the revisions at which it was written: targets
-//! write the same line anew with every heartbeat.
+//! The hashes cover the content of the lines and not their revisions, since targets rewrite the
+//! same line with every heartbeat.
 
 use crate::rendezvous;
 
-/// Parts of a list. A line that differs is told with the others of its part: one in 128, or
-/// some 8 KB of a list of 5,000 targets, where all hashes are 1 KB.
+/// Number of parts. A differing line is sent with the others of its part: one in 128 lines, or some
+/// 8 KB of a list of 5,000 targets; all hashes together are 1 KB.
 pub const COUNT: usize = 128;
 
-/// Some of the parts, a bit each.
+/// A set of parts, one bit each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mask(pub u128);
 
@@ -21,18 +21,18 @@
     /// All parts.
     pub const ALL: Self = Self(u128::MAX);
 
-    /// Whether the part of a line is one of them.
+    /// Whether the set contains the part of the line with this key.
     pub fn has(self, key: &str) -> bool {
         self.0 & 1 << part(key) != 0
     }
 }
 
-/// The part of a line.
+/// Part to which the line with this key belongs.
 fn part(key: &str) -> usize {
     (rendezvous::stable_hash(key) % COUNT as u64) as usize
 }
 
-/// A hash for each part of a list.
+/// One hash for each part of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parts(Box<[u64; COUNT]>);
 
@@ -43,30 +43,30 @@
 }
 
 impl Parts {
-    /// Reads as many hashes as there are parts.
+    /// Builds the hashes from a slice; `None` unless there are exactly [`COUNT`].
     pub fn parse(hashes: &[u64]) -> Option<Self> {
         let hashes: [u64; COUNT] = hashes.try_into().ok()?;
         Some(Self(Box::new(hashes)))
     }
 
-    /// The hashes, part by part.
+    /// The hashes in order of their parts.
     pub fn hashes(&self) -> &[u64] {
         self.0.as_slice()
     }
 
-    /// Adds a line, or takes one out that is there.
+    /// Adds a line to the hash of its part, or removes it if it was added before.
     pub fn toggle(&mut self, key: &str, body: &str) {
         self.0[part(key)] ^= rendezvous::stable_hash(&(key, body));
     }
 
-    /// The parts that say something else.
+    /// The parts whose hashes differ.
     pub fn differing(&self, other: &Self) -> Mask {
         let pairs = self.0.iter().zip(other.0.iter()).enumerate();
-        let bits = pairs.filter(|(_, (mine, theirs))| mine != theirs).map(|(it, _)| 1 << it);
-        Mask(bits.fold(0, |all: u128, it: u128| all | it))
+        let bits = pairs.filter(|(_, (mine, theirs))| mine != theirs).map(|(index, _)| 1 << index);
+        Mask(bits.fold(0, |mask: u128, bit: u128| mask | bit))
     }
 
-    /// One hash for all.
+    /// Hash over all parts.
     pub fn hash(&self) -> u64 {
         rendezvous::stable_hash(self.0.as_slice())
     }
