--- a/crates/sablepass-core/src/outage.rs
+++ b/crates/sablepass-core/src/outage.rs
@@ -1,62 +1,63 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! When a service that all processes read was last away, as one of them sees it: by its own
-//! calls, and by what others say of theirs.
+//! Detects outages of a service that all processes read, from this process's own calls and from
+//! what peers report of theirs.
 //!
-//! What a service lists no more while it is well has left. What it lists no more when it is
-//! back may have lapsed meanwhile, and be written again soon.
+//! An item that a healthy service stops listing was removed. An item missing after an outage may
+//! merely have expired during the outage, and may be written again soon.
 
 use crate::id::Millis;
 
-/// A call that fails and succeeds when it is made again within this time was cut, as a
-/// connection that is closed as it is used; nothing lapses within it.
-const LULL: Millis = 500;
+/// Shortest failure that counts as an outage. A call that fails and succeeds when retried within
+/// this time was merely interrupted, as by a connection that is closed while in use; no item
+/// expires within it.
+const MIN_OUTAGE: Millis = 500;
 
-/// The outages of a service.
+/// Outage state of a service.
 #[derive(Debug)]
 pub struct Outages {
-    /// Longest time between two answers of a service that is well.
-    quiet: Millis,
-    /// When it last answered anybody; 0 before the first answer.
+    /// Longest time between two answers of a healthy service.
+    max_idle: Millis,
+    /// Time of the last answer to any process; 0 before the first answer.
     answered: Millis,
-    /// Since when it has not answered.
-    away: Option<Millis>,
-    /// When it last came back; 0 if it never was away.
+    /// Start of the current outage.
+    failed_since: Option<Millis>,
+    /// End of the last outage or restore; 0 if there was none.
     back: Millis,
 }
 
 impl Outages {
-    /// Opens without an outage. A service that is well answers somebody every `quiet`
-    /// milliseconds.
-    pub fn open(quiet: Millis) -> Self {
-        Self { quiet, answered: 0, away: None, back: 0 }
+    /// Creates the state without an outage. A healthy service answers at least one process every
+    /// `max_idle` milliseconds.
+    pub fn open(max_idle: Millis) -> Self {
+        Self { max_idle, answered: 0, failed_since: None, back: 0 }
     }
 
-    /// Records a call without an answer, which would have come by `due`.
+    /// Records a failed call whose answer was due at `due`.
     pub fn failed(&mut self, due: Millis) {
-        self.away.get_or_insert(due);
+        self.failed_since.get_or_insert(due);
     }
 
-    /// Records that the service answered somebody.
+    /// Records that the service answered a call of any process.
     pub fn answered(&mut self, at: Millis) {
-        if at <= self.answered || self.away.is_some_and(|since| at <= since) {
+        if at <= self.answered || self.failed_since.is_some_and(|since| at <= since) {
             return;
         }
-        let failed = self.away.take().is_some_and(|since| at > since + LULL);
-        let silent = self.answered > 0 && at > self.answered + self.quiet + LULL;
+        let failed = self.failed_since.take().is_some_and(|since| at > since + MIN_OUTAGE);
+        let silent = self.answered > 0 && at > self.answered + self.max_idle + MIN_OUTAGE;
         if failed || silent {
             self.back = at;
         }
         self.answered = at;
     }
 
-    /// Records that the service was restored from a copy.
+    /// Records that the service was restored from a backup.
     pub fn restored(&mut self, now: Millis) {
         self.back = now;
     }
 
-    /// When it last came back; 0 if it never was away.
+    /// End of the last outage or restore; 0 if there was none.
     pub fn back(&self) -> Millis {
         self.back
     }
