--- a/crates/sablepass-core/src/catalogue.rs
+++ b/crates/sablepass-core/src/catalogue.rs
@@ -1,13 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The catalogue: everything declared and in force, made of all documents.
+//! The catalogue: all declarations in force, built from all documents.
 //!
-//! Documents are added in the order of their revisions in force, so that what
-//! is in force keeps its place; one that clashes with an earlier one is
-//! refused whole and shown, never merged. Documents of different partners
-//! cannot clash: names are qualified, and customers' keys carry the partner's
-//! name.
+//! Documents are added in the order of their revisions in force, so that a later document cannot
+//! displace an earlier one. A document that conflicts with an earlier one is refused as a whole and
+//! reported, never merged. Documents of different partners cannot conflict: names are qualified by
+//! the partner, and customers' keys begin with the partner's name.
 
 use std::collections::BTreeMap;
 
@@ -19,21 +18,21 @@
 use crate::revision::Revision;
 use crate::route::Table;
 
-/// A declared resource with its partner and the document it stands in.
+/// A declared resource with its partner and its document.
 #[derive(Clone, Debug)]
 pub struct Declared<T> {
     /// The partner that owns it.
     pub partner: String,
-    /// Key of its document.
+    /// Key of the document that declares it.
     pub holder: String,
     /// The resource.
     pub it: T,
 }
 
-/// Everything in force, by qualified name `partner/name`.
+/// All resources in force, by qualified name `partner/name`.
 #[derive(Debug, Default)]
 pub struct Catalogue {
-    /// Revision it was made of.
+    /// Revision of the store from which it was built.
     pub revision: Revision,
     /// Targets.
     pub targets: BTreeMap<String, Declared<Target>>,
@@ -41,24 +40,24 @@
     pub groups: BTreeMap<String, Declared<Group>>,
     /// Customers.
     pub customers: BTreeMap<String, Declared<Customer>>,
-    /// Customer names by key.
+    /// Qualified customer names by customer key.
     pub keys: BTreeMap<String, String>,
     /// Grants.
     pub grants: Vec<Declared<Grant>>,
-    /// Start of the planned stop of each target.
+    /// Start of the planned stop of each target, in milliseconds since the Unix epoch.
     pub stops: BTreeMap<String, Millis>,
     /// Routes of all partners.
     pub routes: Table,
-    /// Services that routes name, by their own name.
+    /// Services that routes refer to, by unqualified name.
     pub services: BTreeMap<String, Service>,
-    /// Limits of callers' connections, where declared.
+    /// Limits on callers' connections, if declared.
     pub limits: Option<Limits>,
-    /// What is refused, by document key.
+    /// Reasons for refused documents, by document key.
     pub refused: BTreeMap<String, Error>,
 }
 
 impl Catalogue {
-    /// Makes the catalogue of a store.
+    /// Builds the catalogue of the documents of a store.
     pub fn build(store: &config::Store) -> Self {
         let mut catalogue = Self { revision: store.revision(), ..Self::default() };
         let mut force = Vec::new();
@@ -77,61 +76,65 @@
         catalogue
     }
 
-    /// Adds a document, or nothing of it when it clashes with an earlier one.
-    fn add(&mut self, key: &str, it: Declarations) -> Result<()> {
+    /// Adds the declarations of a document, or none of them if one conflicts with an earlier
+    /// document.
+    fn add(&mut self, key: &str, declared: Declarations) -> Result<()> {
         let partner = declaration::partner(key)?.to_owned();
         let qualify = |name: &str| format!("{partner}/{name}");
-        for target in &it.target {
-            self.free(key, "target", &qualify(&target.name), |c, n| holder(&c.targets, n))?;
+        for target in &declared.target {
+            self.check_unused(key, "target", &qualify(&target.name), |c, n| holder(&c.targets, n))?;
         }
-        for group in &it.group {
-            self.free(key, "group", &qualify(&group.name), |c, n| holder(&c.groups, n))?;
+        for group in &declared.group {
+            self.check_unused(key, "group", &qualify(&group.name), |c, n| holder(&c.groups, n))?;
         }
-        for customer in &it.customer {
-            self.free(key, "customer", &qualify(&customer.name), |c, n| holder(&c.customers, n))?;
+        for customer in &declared.customer {
+            self.check_unused(key, "customer", &qualify(&customer.name), |c, n| {
+                holder(&c.customers, n)
+            })?;
             if let Some(other) = customer.all_keys().find_map(|it| self.keys.get(it)) {
-                return Err(clash(key, "customer key of", &customer.name, other));
+                return Err(conflict(key, "customer key of", &customer.name, other));
             }
         }
-        for route in &it.route {
+        for route in &declared.route {
             if self.routes.has(&route.host, &route.prefix) {
-                return Err(clash(key, "route", &route.name, "another route of that prefix"));
+                return Err(conflict(key, "route", &route.name, "another route of that prefix"));
             }
         }
-        for service in &it.service {
+        for service in &declared.service {
             if self.services.contains_key(&service.name) {
-                return Err(clash(key, "service", &service.name, "another document"));
+                return Err(conflict(key, "service", &service.name, "another document"));
             }
         }
         let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
-        for target in it.target {
+        for target in declared.target {
             self.targets.insert(qualify(&target.name), own(target));
         }
         let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
-        for group in it.group {
+        for group in declared.group {
             self.groups.insert(qualify(&group.name), own(group));
         }
         let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
-        for customer in it.customer {
+        for customer in declared.customer {
             let name = qualify(&customer.name);
             self.keys.extend(customer.all_keys().map(|it| (it.clone(), name.clone())));
             self.customers.insert(qualify(&customer.name), own(customer));
         }
         let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
-        self.grants.extend(it.grant.into_iter().map(own));
-        for stop in it.stop {
+        self.grants.extend(declared.grant.into_iter().map(own));
+        for stop in declared.stop {
             self.stops.insert(qualify(&stop.target), stop.at);
         }
-        for route in it.route {
+        for route in declared.route {
             self.routes.add(route);
         }
-        let services = it.service.into_iter().map(|it| (it.name.clone(), it));
+        let services = declared.service.into_iter().map(|it| (it.name.clone(), it));
         self.services.extend(services);
-        self.limits = it.limits.or(self.limits);
+        self.limits = declared.limits.or(self.limits);
         Ok(())
     }
 
-    fn free(
+    /// Fails if `find` returns a document that already declares this name.
+    fn check_unused(
         &self,
         key: &str,
         kind: &'static str,
@@ -139,12 +142,12 @@
         find: impl Fn(&Self, &str) -> Option<String>,
     ) -> Result<()> {
         match find(self, name) {
-            Some(holder) => Err(clash(key, kind, name, &holder)),
+            Some(holder) => Err(conflict(key, kind, name, &holder)),
             None => Ok(()),
         }
     }
 
-    /// Names of the targets that serve `serves`, a qualified model or service.
+    /// Names of the targets that serve `serves`, the qualified name of a model or service.
     pub fn serving(&self, kind: Kind, serves: &str) -> Vec<String> {
         let fits = |it: &Declared<Target>| {
             it.it.kind == kind && serves == format!("{}/{}", it.partner, it.it.serves)
@@ -152,7 +155,8 @@
         self.targets.iter().filter(|(_, it)| fits(it)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// The targets that share the keys of `target`: all that serve the same.
+    /// The targets that serve the same model or service as `target`, itself included. They share
+    /// its keys.
     pub fn siblings(&self, target: &str) -> Vec<String> {
         let Some(it) = self.targets.get(target) else {
             return Vec::new();
@@ -160,7 +164,8 @@
         self.serving(it.it.kind, &format!("{}/{}", it.partner, it.it.serves))
     }
 
-    /// The part of `serves` that a customer of `partner` may use: 1 for its own partner.
+    /// The part, 0 to 1, of the capacity of `serves` that customers of `partner` may use; 1 for the
+    /// owner's own customers.
     pub fn granted(&self, partner: &str, owner: &str, serves: &str) -> f64 {
         if partner == owner {
             return 1.0;
@@ -172,10 +177,11 @@
     }
 }
 
+/// Key of the document that declares `name`.
 fn holder<T>(map: &BTreeMap<String, Declared<T>>, name: &str) -> Option<String> {
     map.get(name).map(|it| it.holder.clone())
 }
 
-fn clash(key: &str, kind: &'static str, name: &str, holder: &str) -> Error {
+fn conflict(key: &str, kind: &'static str, name: &str, holder: &str) -> Error {
     Error::Clash { key: key.to_owned(), kind, name: name.to_owned(), holder: holder.to_owned() }
 }
