--- a/crates/sablepass-core/src/declaration.rs
+++ b/crates/sablepass-core/src/declaration.rs
@@ -1,14 +1,13 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Declarations: what operators publish, and the catalogue made of them.
+//! Declarations that operators publish as TOML documents, and their validation.
 //!
-//! Each document belongs to the partner named by the first part of its key.
-//! A document names resources without a prefix, which makes them that
-//! partner's own, so that no document can name another partner's resource as
-//! its own. A whole document is accepted or refused; its last accepted
-//! version stays in force meanwhile. Validation depends on content alone, so
-//! every process decides alike.
+//! Each document belongs to the partner named by the first segment of its key. Resource names in a
+//! document carry no prefix and belong to that partner, so a document cannot declare another
+//! partner's resources. A document is accepted or refused as a whole; while the newest version is
+//! refused, the last accepted one stays in force. Validation depends on the content alone, so every
+//! process reaches the same result.
 
 use serde::Deserialize;
 use snafu::Snafu;
@@ -18,37 +17,37 @@
 use crate::pass::Times;
 use crate::route::Route;
 
-/// Most bytes of a document: the platform's limit on a value.
-pub const DOCUMENT_LIMIT: usize = 1 << 20;
+/// Maximum size of a document in bytes: the platform's limit on a value.
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// Why a document is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The key does not read `partner/name`.
-    #[snafu(display("{key}: a document key reads partner/name.toml"))]
+    /// The key does not have the form `partner/name`.
+    #[snafu(display("{key}: a document key must have the form partner/name.toml"))]
     Key {
         /// The document key.
         key: String,
     },
-    /// The text is not TOML of the expected shape.
+    /// The text is not valid TOML or doesn't match the schema.
     #[snafu(display("{key}: {message}"))]
     Parse {
         /// The document key.
         key: String,
-        /// What the parser says, with line and column.
+        /// Message of the parser, with line and column.
         message: String,
     },
-    /// The document is longer than the platform holds.
-    #[snafu(display("{key}: {size} bytes; at most {DOCUMENT_LIMIT} are allowed"))]
+    /// The document exceeds [`MAX_DOCUMENT_BYTES`].
+    #[snafu(display("{key}: {size} bytes; at most {MAX_DOCUMENT_BYTES} are allowed"))]
     Size {
         /// The document key.
         key: String,
-        /// Bytes.
+        /// Size in bytes.
         size: usize,
     },
-    /// A resource is named with a prefix.
+    /// A name is empty, too long, or has a prefix or other invalid characters.
     #[snafu(display(
-        "{key}: {kind} {name:?}: a document names only its own partner's resources; use letters, digits, '-', '_' and '.', without a prefix"
+        "{key}: {kind} {name:?}: a document can name only its own partner's resources; use 1 to 64 letters, digits, '-', '_' and '.', without a prefix"
     ))]
     ForeignName {
         /// The document key.
@@ -58,7 +57,7 @@
         /// The name.
         name: String,
     },
-    /// A name is declared twice.
+    /// A name is declared more than once.
     #[snafu(display("{key}: {kind} {name:?} is declared already, in {holder}"))]
     Clash {
         /// The document key.
@@ -67,7 +66,7 @@
         kind: &'static str,
         /// The name.
         name: String,
-        /// The document that declares it first.
+        /// Key of the document that declares it already.
         holder: String,
     },
     /// A value is outside its range.
@@ -83,40 +82,40 @@
         field: &'static str,
         /// The value given.
         value: String,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
     },
 }
 
-/// Result of checking declarations.
+/// Result of validating declarations.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What a target serves.
+/// Kind of a target, by what it serves.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A model engine.
+    /// An engine that serves a model.
     #[default]
     Model,
-    /// A plain service beside the engines.
+    /// A service other than a model engine.
     Service,
 }
 
-/// Priority of a request; a higher one is shed later.
+/// Priority of a request; requests of lower priority are shed first.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Work that can wait.
+    /// Batch work without a tight deadline.
     Bulk = 0,
-    /// The usual.
+    /// The default.
     #[default]
     Normal = 1,
-    /// Short questions that others wait for.
+    /// Short requests on which other work depends.
     Urgent = 2,
 }
 
 impl Priority {
-    /// Reads the value of the priority header.
+    /// Parses the value of the priority header.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "bulk" => Some(Self::Bulk),
@@ -127,22 +126,22 @@
     }
 }
 
-/// A target instance.
+/// A target: an instance that serves a model or a service.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Name within the partner; the agent's settings say the qualified name.
+    /// Name, unique within the partner; the agent's settings contain the qualified name.
     pub name: String,
-    /// What it serves.
+    /// Whether it serves a model or another service.
     #[serde(default)]
     pub kind: Kind,
-    /// Model or service name.
+    /// Name of the model or service that it serves.
     pub serves: String,
     /// Data hall.
     pub hall: String,
-    /// Requests it holds at once. 1 to 100,000.
+    /// Maximum number of concurrent requests. 1 to 100,000.
     pub capacity: u32,
-    /// Whether the target checks the fence of orders by itself.
+    /// Whether the target itself rejects orders with an outdated fence.
     #[serde(default)]
     pub checks_fence: bool,
 }
@@ -153,23 +152,23 @@
 pub struct Group {
     /// Name within the partner.
     pub name: String,
-    /// Targets of this partner whose agents are the group's members.
+    /// Targets of this partner whose agents are the group's members; their number divides `ranks`.
     pub members: Vec<String>,
-    /// Ranks. 1 to 1,024.
+    /// Number of ranks. 1 to 1,024.
     pub ranks: u32,
-    /// Experts a layer. 1 to 4,096.
+    /// Number of experts in a layer. 1 to 4,096.
     pub experts: u32,
-    /// Layers. 1 to 1,024.
+    /// Number of layers. 1 to 1,024.
     pub layers: u32,
-    /// Expert slots of a rank in a layer. 1 to 4,096.
+    /// Number of expert slots of a rank in a layer. 1 to 4,096.
     pub slots: u32,
-    /// Weight of step-time skew.
+    /// Weight of step-time skew in the objective of the planner.
     #[serde(default = "one")]
     pub skew_weight: f64,
-    /// Weight of rebalancing cost.
+    /// Weight of the rebalancing cost in the objective of the planner.
     #[serde(default = "one")]
     pub move_weight: f64,
-    /// Hours of the day, UTC, in which no expert moves: from the first up to, not including, the second.
+    /// Hours of the day (UTC) without expert moves: start, inclusive, and end, exclusive.
     #[serde(default)]
     pub quiet_hours: Option<[u8; 2]>,
 }
@@ -178,28 +177,28 @@
     1.0
 }
 
-/// A customer and what it may use.
+/// A customer with its keys, share and limits.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// Name within the partner.
     pub name: String,
-    /// The key that its requests carry: the partner's name, ':', and at least
-    /// 8 bytes more. So no partner can declare another one's keys.
+    /// The key that its requests carry: the partner's name, ':', and at least 8 further bytes. The
+    /// prefix keeps a partner from declaring keys of another.
     #[serde(default)]
     pub key: String,
-    /// Further keys, of the same form, so that keys can be replaced one by one.
+    /// Further keys of the same form, so that keys can be rotated one by one.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// Weight of its share of the partner's capacity. 1 to 1,000,000.
+    /// Weight by which it shares the partner's capacity with the other customers. 1 to 1,000,000.
     pub share: u32,
-    /// Highest priority it may ask for.
+    /// Highest priority that its requests may have.
     #[serde(default)]
     pub priority: Priority,
-    /// Rank of its requests on routes, before that of the route; 0 is the most urgent.
+    /// Rank of its requests on routes, which overrides that of the route; 0 is the most urgent.
     #[serde(default)]
     pub rank: Option<u8>,
-    /// Requests it may hold at once at one entry. 1 to 100,000.
+    /// Maximum number of concurrent requests at one entry. 1 to 100,000.
     #[serde(default = "default_streams")]
     pub streams: u32,
 }
@@ -215,83 +214,80 @@
     }
 }
 
-/// The figures of a model engine, as its operators publish them.
+/// Performance parameters of a model engine, as its operators publish them.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens of prompt and answer that fit into its memory.
+    /// Number of prompt and answer tokens that fit into its memory.
     pub memory: u64,
-    /// Milliseconds of a step without any sequence.
+    /// Duration of a step without any sequence, in milliseconds.
     pub step: f64,
-    /// Milliseconds a step takes longer for each sequence that writes.
+    /// Additional milliseconds of a step for each decoding sequence.
     pub per_sequence: f64,
-    /// Milliseconds a step takes longer for each 1,000 tokens of context of those.
+    /// Additional milliseconds of a step for each 1,000 context tokens of the decoding sequences.
     pub per_context: f64,
-    /// Prompt tokens read a second.
+    /// Prompt tokens read (prefilled) per second.
     pub read_rate: f64,
-    /// Prompt tokens read a step at most.
+    /// Maximum number of prompt tokens read in a step.
     pub chunk: u32,
-    /// Steps that a pass with writers makes.
+    /// Number of steps in a pass with decoding sequences.
     pub stride: u32,
-    /// Millions of bits a second at which a rank copies experts, if known.
+    /// Rate at which a rank copies experts, in megabits per second, if known.
     #[serde(default)]
     pub link: Option<f64>,
-    /// Tokens of a usual prompt, if known.
+    /// Length of a typical prompt in tokens, if known.
     #[serde(default)]
     pub prompt: Option<f64>,
-    /// The ranks that step together, if it is one of a group.
+    /// Parameters of the ranks, if the engine is a member of a group whose ranks step together.
     #[serde(default)]
     pub ranks: Option<Ranks>,
 }
 
-/// Microseconds that copying an expert is taken to last where nothing is
-/// declared: those of the first deployments took 39 ms.
-const COPY: f64 = 40_000.0;
-/// Bits of a byte.
-const BITS: f64 = 8.0;
-/// Milliseconds of a second.
-const MILLIS: f64 = 1_000.0;
-/// Microseconds of a second.
-const MICROS: f64 = 1e6;
-/// Microseconds of a millisecond.
-const MICROS_OF_MILLI: f64 = 1_000.0;
-/// Parts in which the experts' part is told.
+/// Time to copy an expert, in microseconds, if no link rate is declared; typical copies take 39 ms.
+const DEFAULT_COPY_MICROS: f64 = 40_000.0;
+const BITS_PER_BYTE: f64 = 8.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
+const MICROS_PER_SECOND: f64 = 1e6;
+const MICROS_PER_MILLI: f64 = 1_000.0;
+/// Resolution of the experts' part of the work in [`Bounds`].
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// What the ranks of a group of engines have in common.
+/// Parameters that all ranks of a group of engines have in common.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Ranks {
-    /// Layers that are placed one by one.
+    /// Number of layers whose experts are placed independently.
     pub layers: u32,
-    /// Experts a layer.
+    /// Number of experts in a layer.
     pub experts: u32,
-    /// Slots of a rank in a layer.
+    /// Number of expert slots of a rank in a layer.
     pub slots: u32,
-    /// Experts of a layer that one preparation may bring to a rank.
+    /// Maximum number of experts of a layer that the preparation of one map may copy to a rank.
     pub spare: u32,
-    /// Bytes of one expert, in millions.
+    /// Size of one expert in megabytes.
     pub expert_size: f64,
-    /// Part of the work for a token that experts do, 0 to 1.
+    /// Part of the work for a token that is done by experts, 0 to 1.
     pub expert_part: f64,
-    /// Milliseconds from the return of a lost rank to the group's next step.
+    /// Time from the return of a lost rank to the group's next step, in milliseconds.
     pub form: f64,
 }
 
 impl Engine {
-    /// How long the passes of its group take; none if it is one of no group.
+    /// Model of the pass durations of the engine's group; `None` if it is not a member of one.
     pub fn times(&self) -> Option<Times> {
         let part = self.ranks.as_ref()?.expert_part;
-        let reading = (self.prompt.unwrap_or(0.0), self.read_rate / MILLIS);
+        let reading = (self.prompt.unwrap_or(0.0), self.read_rate / MILLIS_PER_SECOND);
         Some(Times::new(self.stride.into(), self.step, self.per_sequence, part, reading))
     }
 
-    /// What this says of the maps of the group's ranks; none if it is one of no group.
+    /// Bounds on the expert maps of the engine's group; `None` if it is not a member of one.
     pub fn bounds(&self) -> Option<Bounds> {
         let ranks = self.ranks.as_ref()?;
-        let copy = self.link.map_or(COPY, |it| ranks.expert_size * BITS / it * MICROS);
+        let copy = self.link.map_or(DEFAULT_COPY_MICROS, |rate| {
+            ranks.expert_size * BITS_PER_BYTE / rate * MICROS_PER_SECOND
+        });
         Some(Bounds {
             layers: ranks.layers,
             experts: ranks.experts,
@@ -299,67 +295,67 @@
             spare: ranks.spare,
             copy: copy.round() as u32,
             part: (ranks.expert_part * THOUSANDTHS).round() as u32,
-            step: (self.step * MICROS_OF_MILLI).round() as u32,
-            sequence: (self.per_sequence * MICROS_OF_MILLI).round() as u32,
+            step: (self.step * MICROS_PER_MILLI).round() as u32,
+            sequence: (self.per_sequence * MICROS_PER_MILLI).round() as u32,
         })
     }
 }
 
-/// A service and what its targets take.
+/// A service and the limits of its targets.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name.
+    /// Name, unique among all partners.
     pub name: String,
-    /// Connections that one target takes, from all processes together.
+    /// Maximum number of connections to one target, from all processes together.
     pub connections: u32,
-    /// What its targets are, if they are model engines.
+    /// Parameters of its targets, if they are model engines.
     #[serde(default)]
     pub engine: Option<Engine>,
 }
 
-/// What a caller's connection may send.
+/// Limits on a caller's connection.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Bytes of the head of a request.
+    /// Maximum size of the head of a request in bytes.
     pub head: usize,
-    /// Bytes of its body.
+    /// Maximum size of the body of a request in bytes.
     pub body: usize,
-    /// Milliseconds in which the head must be there.
+    /// Time in which the whole head must arrive, in milliseconds.
     pub head_time: Millis,
-    /// Milliseconds that a connection may rest between two requests.
+    /// Maximum idle time between two requests, in milliseconds.
     pub idle_time: Millis,
 }
 
-/// What one partner lends to the other.
+/// Permission for another partner to use a model or service of this one.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// The partner that may use it.
+    /// Name of the partner that may use it.
     pub to: String,
-    /// Model or service of this partner.
+    /// Name of the model or service of this partner.
     pub serves: String,
-    /// Part of its capacity, above 0 and up to 1.
+    /// Part of its capacity that may be used, above 0 and up to 1.
     pub part: f64,
 }
 
-/// A planned stop.
+/// A planned stop of a target.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Stop {
-    /// Target of this partner.
+    /// Name of the target of this partner.
     pub target: String,
-    /// When it begins, in milliseconds since the Unix epoch.
+    /// Start of the stop, in milliseconds since the Unix epoch.
     pub at: Millis,
 }
 
-/// One document.
+/// The content of one document.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Declarations {
-    /// The operator's own number of this document. One with a lower number than the one in
-    /// force is not taken, wherever the service lists it.
+    /// Version number assigned by the operator. A document with a lower number than the one in
+    /// force is rejected, whatever its revision.
     pub version: Option<u64>,
     /// Targets.
     pub target: Vec<Target>,
@@ -373,13 +369,13 @@
     pub stop: Vec<Stop>,
     /// Routes.
     pub route: Vec<Route>,
-    /// Services that routes name.
+    /// Services that routes refer to.
     pub service: Vec<Service>,
-    /// Limits of callers' connections.
+    /// Limits on callers' connections.
     pub limits: Option<Limits>,
 }
 
-/// The partner that owns a document key.
+/// Returns the partner that owns the document with this key.
 pub fn partner(key: &str) -> Result<&str> {
     match key.split_once('/') {
         Some((partner, rest)) if is_name(partner) && !rest.is_empty() => Ok(partner),
@@ -387,10 +383,10 @@
     }
 }
 
-/// Checks one document by itself.
+/// Parses and validates one document. Conflicts with other documents are detected by the catalogue.
 pub fn check(key: &str, body: &str) -> Result<Declarations> {
     partner(key)?;
-    if body.len() > DOCUMENT_LIMIT {
+    if body.len() > MAX_DOCUMENT_BYTES {
         return Err(Error::Size { key: key.to_owned(), size: body.len() });
     }
     let document: Declarations = toml::from_str(body)
@@ -398,26 +394,26 @@
     judge(key, document, Keys::OfPartner)
 }
 
-/// Which keys a document may give its customers.
+/// Customer keys that a document may declare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Keys {
-    /// Those that begin with its partner's name.
+    /// Keys that begin with the name of the document's partner.
     OfPartner,
-    /// Any, where one operator writes for all.
+    /// Any keys, for a platform where one operator publishes all documents.
     Any,
 }
 
-/// Judges declarations that were decoded elsewhere by the rules for documents.
-pub fn judge(key: &str, it: Declarations, keys: Keys) -> Result<Declarations> {
+/// Validates declarations that were decoded from another format, by the rules for documents.
+pub fn judge(key: &str, declarations: Declarations, keys: Keys) -> Result<Declarations> {
     let checker = Checker { key, keys };
-    checker.names(&it)?;
-    checker.ranges(&it)?;
-    checker.twice(&it)?;
-    Ok(it)
+    checker.names(&declarations)?;
+    checker.ranges(&declarations)?;
+    checker.duplicates(&declarations)?;
+    Ok(declarations)
 }
 
 fn is_name(text: &str) -> bool {
-    let fits = |it: char| it.is_ascii_alphanumeric() || matches!(it, '-' | '_' | '.');
+    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     !text.is_empty() && text.len() <= 64 && text.chars().all(fits)
 }
 
@@ -427,31 +423,31 @@
 }
 
 impl Checker<'_> {
-    fn names(&self, it: &Declarations) -> Result<()> {
-        for target in &it.target {
+    fn names(&self, declarations: &Declarations) -> Result<()> {
+        for target in &declarations.target {
             self.name("target", &target.name)?;
             self.name("target serves", &target.serves)?;
         }
-        for group in &it.group {
+        for group in &declarations.group {
             self.name("group", &group.name)?;
             for member in &group.members {
                 self.name("group member", member)?;
             }
         }
-        for customer in &it.customer {
+        for customer in &declarations.customer {
             self.name("customer", &customer.name)?;
         }
-        for grant in &it.grant {
+        for grant in &declarations.grant {
             self.name("grant", &grant.serves)?;
             self.name("grant to", &grant.to)?;
         }
-        for stop in &it.stop {
+        for stop in &declarations.stop {
             self.name("stop", &stop.target)?;
         }
-        for service in &it.service {
+        for service in &declarations.service {
             self.name("service", &service.name)?;
         }
-        for route in &it.route {
+        for route in &declarations.route {
             self.name("route", &route.name)?;
             for share in &route.shares {
                 self.name("route share", &share.service)?;
@@ -467,15 +463,15 @@
         Err(Error::ForeignName { key: self.key.to_owned(), kind, name: name.to_owned() })
     }
 
-    fn ranges(&self, it: &Declarations) -> Result<()> {
-        for target in &it.target {
+    fn ranges(&self, declarations: &Declarations) -> Result<()> {
+        for target in &declarations.target {
             let fits = (1..=100_000).contains(&target.capacity);
             self.range("target", &target.name, "capacity", target.capacity, fits, "1 to 100000")?;
         }
-        for group in &it.group {
+        for group in &declarations.group {
             self.group_ranges(group)?;
         }
-        for customer in &it.customer {
+        for customer in &declarations.customer {
             let name = &customer.name;
             let fits = (1..=1_000_000).contains(&customer.share);
             self.range("customer", name, "share", customer.share, fits, "1 to 1000000")?;
@@ -489,33 +485,33 @@
             let allowed = "the partner's name, ':', and at least 8 bytes";
             self.range("customer", name, "key", "(hidden)", fits, allowed)?;
         }
-        for grant in &it.grant {
+        for grant in &declarations.grant {
             let fits = grant.part > 0.0 && grant.part <= 1.0;
             self.range("grant", &grant.serves, "part", grant.part, fits, "above 0 and up to 1")?;
         }
-        for route in &it.route {
+        for route in &declarations.route {
             self.route_ranges(route)?;
         }
         Ok(())
     }
 
-    fn route_ranges(&self, it: &Route) -> Result<()> {
-        let name = &it.name;
-        let fits = it.prefix.starts_with('/') && it.prefix.ends_with('/');
+    fn route_ranges(&self, route: &Route) -> Result<()> {
+        let name = &route.name;
+        let fits = route.prefix.starts_with('/') && route.prefix.ends_with('/');
         self.range(
             "route",
             name,
             "prefix",
-            &it.prefix,
+            &route.prefix,
             fits,
             "a path that begins and ends with /",
         )?;
-        let fits = (1..=3_600_000).contains(&it.timeout);
-        self.range("route", name, "timeout", it.timeout, fits, "1 to 3600000")?;
-        let fits = (1..=100).contains(&it.attempts);
-        self.range("route", name, "attempts", it.attempts, fits, "1 to 100")?;
-        let fits = it.shares.iter().any(|it| it.weight > 0);
-        self.range("route", name, "shares", it.shares.len(), fits, "one with a weight, or more")
+        let fits = (1..=3_600_000).contains(&route.timeout);
+        self.range("route", name, "timeout", route.timeout, fits, "1 to 3600000")?;
+        let fits = (1..=100).contains(&route.attempts);
+        self.range("route", name, "attempts", route.attempts, fits, "1 to 100")?;
+        let fits = route.shares.iter().any(|it| it.weight > 0);
+        self.range("route", name, "shares", route.shares.len(), fits, "one or more with a weight")
     }
 
     fn is_own_key(&self, key: &str) -> bool {
@@ -524,26 +520,29 @@
         secret.is_some_and(|it| it.len() >= 8)
     }
 
-    fn group_ranges(&self, it: &Group) -> Result<()> {
-        let name = &it.name;
-        let sizes = [("ranks", it.ranks, 1_024), ("layers", it.layers, 1_024)];
-        for (field, value, most) in sizes {
-            let fits = (1..=most).contains(&value);
+    fn group_ranges(&self, group: &Group) -> Result<()> {
+        let name = &group.name;
+        let sizes = [("ranks", group.ranks, 1_024), ("layers", group.layers, 1_024)];
+        for (field, value, max) in sizes {
+            let fits = (1..=max).contains(&value);
             self.range("group", name, field, value, fits, "1 to 1024")?;
         }
-        for (field, value) in [("experts", it.experts), ("slots", it.slots)] {
+        for (field, value) in [("experts", group.experts), ("slots", group.slots)] {
             let fits = (1..=4_096).contains(&value);
             self.range("group", name, field, value, fits, "1 to 4096")?;
         }
-        let fits = u64::from(it.ranks) * u64::from(it.slots) >= u64::from(it.experts);
-        self.range("group", name, "slots", it.slots, fits, "enough for every expert")?;
-        let fits = !it.members.is_empty() && (it.ranks as usize).is_multiple_of(it.members.len());
-        self.range("group", name, "members", it.members.len(), fits, "a divisor of ranks")?;
-        for (field, value) in [("skew_weight", it.skew_weight), ("move_weight", it.move_weight)] {
+        let fits = u64::from(group.ranks) * u64::from(group.slots) >= u64::from(group.experts);
+        self.range("group", name, "slots", group.slots, fits, "enough for every expert")?;
+        let fits = !group.members.is_empty()
+            && (group.ranks as usize).is_multiple_of(group.members.len());
+        self.range("group", name, "members", group.members.len(), fits, "a divisor of ranks")?;
+        for (field, value) in
+            [("skew_weight", group.skew_weight), ("move_weight", group.move_weight)]
+        {
             let fits = value.is_finite() && value >= 0.0;
             self.range("group", name, field, value, fits, "0 or more")?;
         }
-        let fits = it.quiet_hours.is_none_or(|[from, to]| from < 24 && to <= 24);
+        let fits = group.quiet_hours.is_none_or(|[from, to]| from < 24 && to <= 24);
         self.range("group", name, "quiet_hours", "", fits, "two hours from 0 to 24")
     }
 
@@ -569,18 +568,18 @@
         })
     }
 
-    fn twice(&self, it: &Declarations) -> Result<()> {
-        self.each_once("target", it.target.iter().map(|it| it.name.as_str()))?;
-        self.each_once("group", it.group.iter().map(|it| it.name.as_str()))?;
-        self.each_once("customer", it.customer.iter().map(|it| it.name.as_str()))?;
-        self.each_once("service", it.service.iter().map(|it| it.name.as_str()))?;
-        self.each_once("route", it.route.iter().map(|it| it.name.as_str()))?;
+    fn duplicates(&self, declarations: &Declarations) -> Result<()> {
+        self.ensure_unique("target", declarations.target.iter().map(|it| it.name.as_str()))?;
+        self.ensure_unique("group", declarations.group.iter().map(|it| it.name.as_str()))?;
+        self.ensure_unique("customer", declarations.customer.iter().map(|it| it.name.as_str()))?;
+        self.ensure_unique("service", declarations.service.iter().map(|it| it.name.as_str()))?;
+        self.ensure_unique("route", declarations.route.iter().map(|it| it.name.as_str()))?;
         let places: Vec<String> =
-            it.route.iter().map(|it| format!("{}{}", it.host, it.prefix)).collect();
-        self.each_once("route of", places.iter().map(String::as_str))
+            declarations.route.iter().map(|it| format!("{}{}", it.host, it.prefix)).collect();
+        self.ensure_unique("route of", places.iter().map(String::as_str))
     }
 
-    fn each_once<'a>(
+    fn ensure_unique<'a>(
         &self,
         kind: &'static str,
         names: impl Iterator<Item = &'a str>,
