--- a/crates/sablepass-core/src/starts.rs
+++ b/crates/sablepass-core/src/starts.rs
@@ -1,167 +1,172 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Who begins: streams of a service that arrive, that wait for their group to
-//! open, and that wait for their turn.
+//! Admission of streams to a service: decides which streams start at once, which wait for a group
+//! to become ready or for free capacity, and which are refused. The entry's router calls it.
 //!
-//! Callers are promised that a stream does not pause, and all ranks of a group
-//! pass together, so one stream too many makes all of them late. While passes
-//! would be too long with it, a stream waits its turn; where it would then be
-//! late it is refused at once and told when its turn would come. A stream that
-//! is late whatever is done, since its group was closed or it broke off
-//! elsewhere, still serves its caller: it takes the room that those in time
-//! leave, and waits for as long as its caller does.
+//! Callers are promised that a stream does not pause, and all ranks of a group run each pass
+//! together, so one stream too many delays all of them. A stream waits while passes would be too
+//! long with it; if it would then miss its objective, it is refused at once, with an estimate of
+//! when it could start. A stream that is late in any case, because its group was closed or it was
+//! interrupted on another target, still serves its caller: it uses the capacity that streams in
+//! time leave free, and waits for as long as its caller does.
 
 use std::collections::VecDeque;
 
 use crate::id::{Millis, RequestId};
 
-/// How many times as long as usual a stream may take from its start to its
-/// first event, so that it is still in time after the longest wait.
-const OPENS_TIMES: f64 = 1.3;
-/// Milliseconds that this is taken to last before one has begun.
-const OPENS: f64 = 200.0;
-/// Milliseconds that a stream is taken to last before one has ended.
-const LASTS: f64 = 2_000.0;
-/// By what part a stream that took longer or less long moves both. They follow the
-/// median: a mean would take the few streams that a held step keeps for seconds for all.
-const STEP: f64 = 0.02;
-/// Milliseconds of silence for which callers of the users' platform wait at
-/// least, and as parts of their objective and of the pause they allow.
-const PATIENCE: Millis = 2_000;
-const PATIENCE_OBJECTIVES: Millis = 4;
-const PATIENCE_PAUSES: Millis = 8;
-/// Milliseconds of arrivals for which those that are late leave room. A group
-/// that opens has a better map about as long after it.
-const RESERVED: f64 = 600.0;
-/// Milliseconds over which arrivals are counted: longer than callers who lost
-/// their streams take to come back together.
-const COUNTED: f64 = 3_000.0;
-
-/// How long a caller waits for the first event of a stream, given within which
-/// time that is in time, and the longest pause between two events.
+/// Factor on the median time to the first event, so that a stream that waited as long as possible
+/// is usually still in time.
+const FIRST_EVENT_FACTOR: f64 = 1.3;
+/// Time to the first event that is assumed before any stream has ended.
+const INITIAL_FIRST_EVENT_MS: f64 = 200.0;
+/// Duration of a stream that is assumed before any has ended.
+const INITIAL_DURATION_MS: f64 = 2_000.0;
+/// Relative step by which each sample moves the estimated medians. A median is used because a mean
+/// would be dominated by the few streams that a stalled step delays for seconds.
+const MEDIAN_STEP: f64 = 0.02;
+/// Time for which callers wait for the first event at least.
+const MIN_PATIENCE: Millis = 2_000;
+/// The same as a multiple of the objective for the first event.
+const PATIENCE_PER_OBJECTIVE: Millis = 4;
+/// The same as a multiple of the longest pause that callers allow.
+const PATIENCE_PER_PAUSE: Millis = 8;
+/// Late streams leave free the places that new arrivals fill in this time, which is about the time
+/// after which a newly formed group has a better map.
+const RESERVED_MS: f64 = 600.0;
+/// Time constant of the arrival rate; longer than callers whose streams were lost take to reconnect
+/// together.
+const ARRIVAL_WINDOW_MS: f64 = 3_000.0;
+
+/// Time in milliseconds for which a caller waits for the first event of a stream, given the
+/// objective for it and the longest pause allowed between two events.
 pub fn patience(objective: Millis, pause: Millis) -> Millis {
-    PATIENCE.max(objective * PATIENCE_OBJECTIVES).max(pause * PATIENCE_PAUSES)
+    MIN_PATIENCE.max(objective * PATIENCE_PER_OBJECTIVE).max(pause * PATIENCE_PER_PAUSE)
 }
 
-/// What a service has for streams that fall to this entry.
+/// Capacity of a service for the streams assigned to this entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Room {
-    /// Nothing bounds what begins.
+    /// No limit applies to starts.
     Free,
-    /// Its group is open.
+    /// The group is ready.
     Open {
-        /// Streams with which passes are short enough.
+        /// Maximum number of streams with which passes are short enough.
         places: f64,
-        /// Streams that run.
+        /// Number of active streams.
         load: f64,
-        /// Prompts that may be read at once without a longer pass for all: one a rank.
+        /// Maximum number of prompts read at once without a longer pass for all: one per rank.
         reads: f64,
     },
-    /// Its group is closed and about to open.
+    /// The group is closed and is about to become ready.
     Opens {
-        /// When, in milliseconds from now.
+        /// Milliseconds until it is ready.
         within: Millis,
-        /// Streams with which passes are short enough on its first map.
+        /// Maximum number of streams with which passes are short enough on the group's first map.
         places: f64,
-        /// All of its ranks are there, so that this is known and not hoped.
+        /// Whether all ranks are present, so that `within` is reliable.
         sure: bool,
     },
-    /// Its group is closed, and nobody knows until when.
+    /// The group is closed, for an unknown time.
     Closed,
 }
 
-/// A stream that asks to begin.
+/// A stream that requests to start.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask {
-    /// Its request.
+    /// Id of its request.
     pub id: RequestId,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Millis,
-    /// Milliseconds within which its first event is in time.
+    /// Objective for the first event, in milliseconds after arrival.
     pub objective: Millis,
-    /// Milliseconds within which its caller must get it.
+    /// Milliseconds after arrival at which its caller gives up without a first event.
     pub patience: Millis,
-    /// It broke off elsewhere, so that it is late already.
+    /// Whether it was interrupted on another target, so that it is late already.
     pub resumed: bool,
 }
 
-/// When a stream may begin.
+/// Decision on when a stream may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// At once.
+    /// The stream starts at once.
     Now,
-    /// When it is its turn, in so many milliseconds by what is known.
+    /// The stream waits; the estimated wait in milliseconds.
     Wait(Millis),
-    /// Not in time; its turn would come in so many milliseconds, if anybody knows.
+    /// The stream would be too late; the estimated time in milliseconds until it could start, if
+    /// known.
     Refuse(Option<Millis>),
 }
 
-/// Streams of a service that wait, those that came first at the front.
+/// Queue of a service's streams that wait to start, in order of arrival, with the estimates on
+/// which decisions are based.
 #[derive(Clone, Debug)]
 pub struct Starts {
     waiting: VecDeque<Ask>,
-    /// When streams began, for as long as their prompts are read.
-    begun: VecDeque<Millis>,
-    /// Milliseconds that a stream lasts, and those to its first event, over some time.
-    lasts: f64,
-    opens: f64,
-    /// Arrivals of late, and when that was.
+    /// Start times of streams whose prompts are still being read.
+    start_times: VecDeque<Millis>,
+    /// Estimated median duration of a stream, in milliseconds.
+    duration_ms: f64,
+    /// Estimated median time to the first event, in milliseconds.
+    first_event_ms: f64,
+    /// Exponentially decaying count of arrivals.
     arrivals: f64,
-    counted: Millis,
+    /// Time of the last update of `arrivals`.
+    counted_at: Millis,
 }
 
 impl Default for Starts {
     fn default() -> Self {
         Self {
             waiting: VecDeque::new(),
-            begun: VecDeque::new(),
-            lasts: LASTS,
-            opens: OPENS,
+            start_times: VecDeque::new(),
+            duration_ms: INITIAL_DURATION_MS,
+            first_event_ms: INITIAL_FIRST_EVENT_MS,
             arrivals: 0.0,
-            counted: 0,
+            counted_at: 0,
         }
     }
 }
 
 impl Starts {
-    /// Says when a stream may begin. One that is to wait is taken in.
+    /// Decides when a stream may start. One that has to wait is added to the queue.
     pub fn ask(&mut self, now: Millis, ask: &Ask, room: Room) -> Turn {
-        self.count(now, f64::from(u8::from(!ask.resumed)));
-        let turn = self.turn(now, ask, room);
+        self.record_arrival(now, f64::from(u8::from(!ask.resumed)));
+        let turn = self.decide(now, ask, room);
         match turn {
-            Turn::Now => self.begin(now),
+            Turn::Now => self.record_start(now),
             Turn::Wait(_) => self.waiting.push_back(*ask),
             Turn::Refuse(_) => {}
         }
         turn
     }
 
-    fn turn(&self, now: Millis, ask: &Ask, room: Room) -> Turn {
+    fn decide(&self, now: Millis, ask: &Ask, room: Room) -> Turn {
         match room {
             Room::Free => Turn::Now,
             Room::Closed => Turn::Refuse(None),
             Room::Opens { within, places, sure } => {
-                self.turn_at_opening(now, ask, within, places, sure)
+                self.decide_before_ready(now, ask, within, places, sure)
             }
-            Room::Open { .. } if self.ahead(now, ask) == 0 && self.fits(now, ask, room) => {
+            Room::Open { .. } if self.ahead(now, ask) == 0 && self.can_start(now, ask, room) => {
                 Turn::Now
             }
             Room::Open { places, load, reads } => {
                 let excess = self.excess(now, ask, places, load);
                 if self.is_late(now, ask) {
-                    self.turn_of_late(now, ask, excess, load, reads)
+                    self.decide_late(now, ask, excess, load, reads)
                 } else {
-                    let turn = self.before(now, ask, excess) * self.lasts / load.max(1.0);
-                    self.verdict(now, ask, turn, ask.objective, turn)
+                    let wait =
+                        self.ends_needed(now, ask, excess) * self.duration_ms / load.max(1.0);
+                    self.wait_or_refuse(now, ask, wait, ask.objective, wait)
                 }
             }
         }
     }
 
-    /// As many wait for an opening as begin then. They are late by that time, and
-    /// leave room as such.
-    fn turn_at_opening(
+    /// Decides while the group is about to become ready. Only as many streams wait as can start
+    /// then. They are late by that time, so the places reserved for new arrivals are left free.
+    fn decide_before_ready(
         &self,
         now: Millis,
         ask: &Ask,
@@ -169,162 +174,176 @@
         places: f64,
         sure: bool,
     ) -> Turn {
-        let all = self.waiting.len() as f64 + 1.0 + self.reserved();
-        let beyond = (all - places).max(0.0);
-        let turn = within as f64 + beyond * self.lasts / places.max(1.0);
-        if beyond <= 0.0 && self.in_time(now, ask, turn, ask.patience) {
-            return Turn::Wait(turn as Millis);
+        let total = self.waiting.len() as f64 + 1.0 + self.reserved_places();
+        let beyond = (total - places).max(0.0);
+        let wait = within as f64 + beyond * self.duration_ms / places.max(1.0);
+        if beyond <= 0.0 && self.in_time(now, ask, wait, ask.patience) {
+            return Turn::Wait(wait as Millis);
         }
-        Turn::Refuse(sure.then_some(turn as Millis))
+        Turn::Refuse(sure.then_some(wait as Millis))
     }
 
-    /// One that is late waits for prompts to be read while there are places. Where
-    /// there are none, it waits only if streams end faster than others arrive.
-    fn turn_of_late(&self, now: Millis, ask: &Ask, excess: f64, load: f64, reads: f64) -> Turn {
+    /// Decides on a late stream. While there are places it waits only for prompts to be read;
+    /// otherwise it waits only if streams end faster than new ones arrive.
+    fn decide_late(&self, now: Millis, ask: &Ask, excess: f64, load: f64, reads: f64) -> Turn {
         let ahead = self.ahead(now, ask) as f64;
         if excess + ahead < 0.0 {
-            return Turn::Wait(((ahead + 1.0) * self.opens / reads.max(1.0)) as Millis);
+            return Turn::Wait(((ahead + 1.0) * self.first_event_ms / reads.max(1.0)) as Millis);
         }
-        let before = self.before(now, ask, excess);
-        let left = load / self.lasts - self.arrivals / COUNTED;
-        let real = if left > 0.0 { before / left } else { f64::MAX };
-        self.verdict(now, ask, real, ask.patience, before * self.lasts / load.max(1.0))
+        let ends_needed = self.ends_needed(now, ask, excess);
+        let freed = load / self.duration_ms - self.arrivals / ARRIVAL_WINDOW_MS;
+        let wait = if freed > 0.0 { ends_needed / freed } else { f64::MAX };
+        self.wait_or_refuse(
+            now,
+            ask,
+            wait,
+            ask.patience,
+            ends_needed * self.duration_ms / load.max(1.0),
+        )
     }
 
-    /// Streams that end before this one begins, itself counted.
-    fn before(&self, now: Millis, ask: &Ask, excess: f64) -> f64 {
+    /// Number of streams that must end before this one can start, itself included.
+    fn ends_needed(&self, now: Millis, ask: &Ask, excess: f64) -> f64 {
         self.ahead(now, ask) as f64 + 1.0 + excess.max(0.0)
     }
 
-    /// Waits for `turn` if its first event then comes within `longest`; else it is
-    /// told to come back in `told`.
-    fn verdict(&self, now: Millis, ask: &Ask, turn: f64, longest: Millis, told: f64) -> Turn {
-        match self.in_time(now, ask, turn, longest) {
-            true => Turn::Wait(turn as Millis),
-            false => Turn::Refuse(Some(told as Millis)),
+    /// Waits if its first event comes within `limit` milliseconds of its arrival when it starts
+    /// after `wait`; otherwise it is refused with `retry_after`. All in milliseconds.
+    fn wait_or_refuse(
+        &self,
+        now: Millis,
+        ask: &Ask,
+        wait: f64,
+        limit: Millis,
+        retry_after: f64,
+    ) -> Turn {
+        match self.in_time(now, ask, wait, limit) {
+            true => Turn::Wait(wait as Millis),
+            false => Turn::Refuse(Some(retry_after as Millis)),
         }
     }
 
-    /// Whether a stream's first event comes within `longest` if it begins in `turn`.
-    fn in_time(&self, now: Millis, ask: &Ask, turn: f64, longest: Millis) -> bool {
+    /// Whether a stream's first event comes within `limit` milliseconds of its arrival if it starts
+    /// after `wait`.
+    fn in_time(&self, now: Millis, ask: &Ask, wait: f64, limit: Millis) -> bool {
         let waited = now.saturating_sub(ask.arrived) as f64;
-        waited + turn + self.opens * OPENS_TIMES <= longest as f64
+        waited + wait + self.first_event_ms * FIRST_EVENT_FACTOR <= limit as f64
     }
 
-    /// Places that those late leave to those that arrive.
-    fn reserved(&self) -> f64 {
-        self.arrivals * RESERVED / COUNTED
+    /// Number of places that late streams leave free for new arrivals.
+    fn reserved_places(&self) -> f64 {
+        self.arrivals * RESERVED_MS / ARRIVAL_WINDOW_MS
     }
 
-    /// Streams beyond those with which passes are short enough, if this one
-    /// begins; negative while there is room.
+    /// Number of streams above the limit if this one starts; negative while there are free places.
     fn excess(&self, now: Millis, ask: &Ask, places: f64, load: f64) -> f64 {
         let late = self.is_late(now, ask);
-        let reserved = if late { self.reserved() } else { 0.0 };
-        load + 1.0 + reserved - places
+        let reserved_places = if late { self.reserved_places() } else { 0.0 };
+        load + 1.0 + reserved_places - places
     }
 
-    /// Whether a stream can begin now. What is late can wait until the prompts of
-    /// others are read: many in one pass make it too long for all that run.
-    fn fits(&self, now: Millis, ask: &Ask, room: Room) -> bool {
+    /// Whether a stream can start now. A late stream waits until the prompts of others are read,
+    /// since reading many in one pass delays all active streams.
+    fn can_start(&self, now: Millis, ask: &Ask, room: Room) -> bool {
         match room {
             Room::Free => true,
             Room::Open { places, load, reads } => {
-                let calm = !self.is_late(now, ask) || self.reading(now) < reads;
-                calm && self.excess(now, ask, places, load) < 0.0
+                let may_read = !self.is_late(now, ask) || self.prompts_being_read(now) < reads;
+                may_read && self.excess(now, ask, places, load) < 0.0
             }
             Room::Opens { .. } | Room::Closed => false,
         }
     }
 
-    /// Streams that began so lately that their prompts are read.
-    fn reading(&self, now: Millis) -> f64 {
-        let fresh = |it: &&Millis| now.saturating_sub(**it) as f64 <= self.opens;
-        self.begun.iter().rev().take_while(fresh).count() as f64
+    /// Number of streams that started so recently that their prompts are still being read.
+    fn prompts_being_read(&self, now: Millis) -> f64 {
+        let recent = |it: &&Millis| now.saturating_sub(**it) as f64 <= self.first_event_ms;
+        self.start_times.iter().rev().take_while(recent).count() as f64
     }
 
-    fn begin(&mut self, now: Millis) {
-        let opens = self.opens;
-        self.begun.retain(|it| now.saturating_sub(*it) as f64 <= opens);
-        self.begun.push_back(now);
+    fn record_start(&mut self, now: Millis) {
+        let first_event_ms = self.first_event_ms;
+        self.start_times.retain(|it| now.saturating_sub(*it) as f64 <= first_event_ms);
+        self.start_times.push_back(now);
     }
 
-    /// Whether a stream's first event comes late even if it begins now.
+    /// Whether a stream's first event misses its objective even if it starts now.
     fn is_late(&self, now: Millis, ask: &Ask) -> bool {
         let waited = now.saturating_sub(ask.arrived) as f64;
-        ask.resumed || waited + self.opens * OPENS_TIMES > ask.objective as f64
+        ask.resumed || waited + self.first_event_ms * FIRST_EVENT_FACTOR > ask.objective as f64
     }
 
-    /// Streams that wait and go before this one: those in time before those late.
+    /// Number of waiting streams that go before this one: those in time before late ones.
     fn ahead(&self, now: Millis, ask: &Ask) -> usize {
         let late = self.is_late(now, ask);
         self.waiting.iter().filter(|it| late || !self.is_late(now, it)).count()
     }
 
-    /// Forgets streams that wait no more.
+    /// Removes the waiting streams for which `waits` returns false.
     pub fn retain(&mut self, waits: impl Fn(&RequestId) -> bool) {
         self.waiting.retain(|it| waits(&it.id));
     }
 
-    /// Whether any stream waits.
+    /// Whether no stream waits.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// The stream whose turn is next.
+    /// The stream that starts next: the first one that is in time, or else the first one.
     pub fn front(&self, now: Millis) -> Option<Ask> {
-        let timely = self.waiting.iter().find(|it| !self.is_late(now, it));
-        timely.or(self.waiting.front()).copied()
+        let in_time = self.waiting.iter().find(|it| !self.is_late(now, it));
+        in_time.or(self.waiting.front()).copied()
     }
 
-    /// Takes out the stream whose turn is next, if there is room for it.
+    /// Removes and returns the stream that starts next, if there is capacity for it.
     pub fn next(&mut self, now: Millis, room: Room) -> Option<RequestId> {
         let ask = self.front(now)?;
-        if !self.fits(now, &ask, room) {
+        if !self.can_start(now, &ask, room) {
             return None;
         }
         self.waiting.retain(|it| it.id != ask.id);
-        self.begin(now);
+        self.record_start(now);
         Some(ask.id)
     }
 
-    /// Takes out a stream for which there will be no turn before its caller
-    /// leaves, with the time in which there might be one.
+    /// Removes and returns a stream that cannot start before its caller gives up, with the
+    /// estimated milliseconds until a start would be possible.
     pub fn give_up(&mut self, now: Millis, room: Room) -> Option<(RequestId, Option<Millis>)> {
-        let over = |it: &Ask| {
+        let too_late = |it: &Ask| {
             let waited = now.saturating_sub(it.arrived) as f64;
-            waited + self.opens * OPENS_TIMES > it.patience as f64
+            waited + self.first_event_ms * FIRST_EVENT_FACTOR > it.patience as f64
         };
-        let at = self.waiting.iter().position(|it| room == Room::Closed || over(it))?;
+        let at = self.waiting.iter().position(|it| room == Room::Closed || too_late(it))?;
         let ask = self.waiting.remove(at)?;
-        let turn = match room {
+        let retry_after = match room {
             Room::Opens { within, sure: true, .. } => Some(within),
-            Room::Open { load, .. } => Some((self.lasts / load.max(1.0)) as Millis),
+            Room::Open { load, .. } => Some((self.duration_ms / load.max(1.0)) as Millis),
             Room::Opens { .. } | Room::Free | Room::Closed => None,
         };
-        Some((ask.id, turn))
+        Some((ask.id, retry_after))
     }
 
-    /// Milliseconds from the start of a request to the first of its answer, over some time.
+    /// Estimated median time from the start of a request to its first event, in milliseconds.
     pub fn opens(&self) -> Millis {
-        self.opens as Millis
+        self.first_event_ms as Millis
     }
 
-    /// Takes how long a stream lasted from its start on, and until its first event.
+    /// Records a stream that ended: its duration and the time to its first event, both from its
+    /// start on, in milliseconds.
     pub fn lasted(&mut self, lasted: Millis, opened: Millis) {
-        follow(&mut self.lasts, lasted as f64);
-        follow(&mut self.opens, opened as f64);
+        move_median(&mut self.duration_ms, lasted as f64);
+        move_median(&mut self.first_event_ms, opened as f64);
     }
 
-    fn count(&mut self, now: Millis, more: f64) {
-        let passed = now.saturating_sub(self.counted) as f64;
-        self.arrivals = self.arrivals * (-passed / COUNTED).exp() + more;
-        self.counted = now;
+    fn record_arrival(&mut self, now: Millis, arrivals: f64) {
+        let passed = now.saturating_sub(self.counted_at) as f64;
+        self.arrivals = self.arrivals * (-passed / ARRIVAL_WINDOW_MS).exp() + arrivals;
+        self.counted_at = now;
     }
 }
 
-/// Moves a median towards a sample.
-fn follow(median: &mut f64, sample: f64) {
-    let times = if sample > *median { 1.0 + STEP } else { 1.0 / (1.0 + STEP) };
+/// Moves an estimated median towards a sample.
+fn move_median(median: &mut f64, sample: f64) {
+    let times = if sample > *median { 1.0 + MEDIAN_STEP } else { 1.0 / (1.0 + MEDIAN_STEP) };
     *median = (*median * times).max(1.0);
 }
