--- a/crates/sablepass-core/tests/config.rs
+++ b/crates/sablepass-core/tests/config.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The configuration that processes hold, and how they come to agree.
+//! Merging of declarations into stores, and convergence of stores that exchange digests and deltas.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn verify_bad_edit_keeps_the_accepted_version() {
+fn verify_an_invalid_edit_keeps_the_accepted_version() {
     let mut store = store();
     store.merge(delta(0, 1, vec![document("p/a", 1, &body("one"))])).expect("newer");
     store.merge(delta(1, 2, vec![document("p/a", 2, "oven = 1")])).expect("newer");
@@ -37,20 +37,20 @@
     let catalogue = Catalogue::build(&store);
     assert!(catalogue.customers.contains_key("p/one") && catalogue.refused.contains_key("p/a"));
     assert_eq!(store.verdicts()["p/a"].force.as_ref().map(|it| it.0), Some(1.into()));
-    // A process that starts now learns both from a peer.
+    // A process that starts now receives both versions from a peer.
     let mut fresh = self::store();
     for it in store.deltas(&Pull::default(), 1 << 20) {
         fresh.merge(it).expect("newer");
     }
     assert!(Catalogue::build(&fresh).customers.contains_key("p/one"));
-    // A good edit takes over.
+    // A valid edit comes into force.
     store.merge(delta(3, 4, vec![document("p/a", 4, &body("two"))])).expect("newer");
     let catalogue = Catalogue::build(&store);
     assert!(catalogue.customers.contains_key("p/two") && catalogue.refused.is_empty());
 }
 
 #[test]
-fn verify_removal_is_for_good() {
+fn verify_a_removed_document_stays_removed() {
     let mut store = store();
     store.merge(delta(0, 1, vec![document("p/a", 1, &body("one"))])).expect("newer");
     let gone = Document { removed: true, ..document("p/a", 2, "") };
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn verify_a_lower_number_of_the_operator_is_not_taken() {
+fn verify_a_lower_version_number_is_rejected() {
     let numbered = |it: u64| format!("version = {it}\n{}", body(&format!("n{it}")));
     let mut store = store();
     store.merge(delta(0, 1, vec![document("p/a", 1, &numbered(7))])).expect("newer");
@@ -71,15 +71,15 @@
     let rejected = store.take_rejected();
     assert_eq!(rejected.iter().map(|it| it.version).collect::<Vec<_>>(), [Some(6)]);
     assert_eq!(store.take_rejected(), []);
-    // The same number is an edit, and the same text none.
+    // With the same number, a different text is an edit and the same text is no change.
     let edit = format!("version = 7\n{}", body("edit"));
     assert_eq!(store.merge(delta(2, 3, vec![document("p/a", 3, &edit)])), Ok(true));
     assert_eq!(store.merge(delta(3, 4, vec![document("p/a", 4, &edit)])), Ok(false));
-    // A refused version with any number leaves the one in force.
+    // A refused version leaves the one in force, whatever its number.
     store.merge(delta(4, 5, vec![document("p/a", 5, "version = 9\noven = 1")])).expect("newer");
     assert!(Catalogue::build(&store).customers.contains_key("p/edit"));
     assert_eq!(store.merge(delta(5, 6, vec![document("p/a", 6, &numbered(6))])), Ok(false));
-    // Removed, it may start again.
+    // After a removal any number is accepted.
     let gone = Document { removed: true, ..document("p/a", 7, "") };
     assert_eq!(store.merge(delta(6, 7, vec![gone])), Ok(true));
     assert_eq!(store.merge(delta(7, 8, vec![document("p/a", 8, &numbered(1))])), Ok(true));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn verify_older_and_gappy_deltas_are_ignored() {
+fn verify_old_deltas_and_deltas_with_a_gap_are_ignored() {
     let mut store = store();
     store.merge(delta(0, 5, vec![document("p/a", 5, &body("one"))])).expect("newer");
     let old = delta(0, 4, vec![document("p/a", 4, &body("old"))]);
@@ -97,26 +97,26 @@
     assert_eq!(store.revision(), 5.into());
 }
 
-/// Stores that exchange digests and deltas in any order, with reads that may
-/// be stale, come to hold the same, and no revision ever goes back.
+/// Stores that exchange digests and deltas in any order, and merge stale or duplicate reads,
+/// converge to the same content, and no store's revision ever decreases.
 #[test]
 fn verify_stores_converge() {
-    fn holds(seed: u64) {
+    fn converges(seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut platform: Vec<Document> = Vec::new();
         let mut stores: Vec<Store> = (0..4).map(|_| store()).collect();
-        let mut late: Vec<(usize, Delta)> = Vec::new();
+        let mut in_flight: Vec<(usize, Delta)> = Vec::new();
         for round in 0..60 {
             match rng.random_range(0..4) {
                 0 => {
                     let revision = platform.len() as u64 + 1;
                     let key = format!("p/{}", rng.random_range(0..3));
-                    let good = rng.random_bool(0.7);
-                    let text = if good { body(&format!("n{round}")) } else { "oven = 1".into() };
+                    let valid = rng.random_bool(0.7);
+                    let text = if valid { body(&format!("n{round}")) } else { "oven = 1".into() };
                     platform.push(document(&key, revision, &text));
                 }
                 1 => {
-                    // A read of the platform as of some time ago.
+                    // A read of an earlier state of the platform.
                     let to = rng.random_range(0..=platform.len());
                     let at = rng.random_range(0..stores.len());
                     let after = stores[at].revision().number;
@@ -125,24 +125,24 @@
                         .filter(|it| it.newest.revision.number > after)
                         .cloned()
                         .collect();
-                    late.push((at, delta(after, to as u64, newer)));
+                    in_flight.push((at, delta(after, to as u64, newer)));
                 }
                 2 => {
                     let (a, b) = (rng.random_range(0..4), rng.random_range(0..4));
                     let (compare, _) = stores[a].compare(stores[b].digest());
                     if let Compare::Pull(pull) = compare {
-                        late.extend(stores[b].deltas(&pull, 64).into_iter().map(|it| (a, it)));
+                        in_flight.extend(stores[b].deltas(&pull, 64).into_iter().map(|it| (a, it)));
                     }
                 }
                 _ => {}
             }
-            while !late.is_empty() && rng.random_bool(0.6) {
-                let (at, it) = late.swap_remove(rng.random_range(0..late.len()));
+            while !in_flight.is_empty() && rng.random_bool(0.6) {
+                let (at, it) = in_flight.swap_remove(rng.random_range(0..in_flight.len()));
                 let before = stores[at].revision();
                 let _ = stores[at].merge(it.clone());
-                assert!(stores[at].revision() >= before, "a revision went back");
+                assert!(stores[at].revision() >= before, "a revision decreased");
                 if rng.random_bool(0.2) {
-                    late.push((at, it));
+                    in_flight.push((at, it));
                 }
             }
         }
@@ -166,8 +166,8 @@
             assert_eq!(it.digest(), stores[0].digest(), "seed {seed}");
         }
     }
-    // Fixed seeds: every run gives the same verdict.
-    (0..1_000).for_each(holds);
+    // Fixed seeds, so that every run has the same result.
+    (0..1_000).for_each(converges);
 }
 
 #[test]
@@ -180,7 +180,7 @@
     assert_eq!(readers(0), 2);
     assert_eq!(readers(options.patience), 3);
     assert_eq!(readers(1_000_000), 8);
-    // A reader that the list no longer names is replaced.
+    // A reader that the list no longer contains is replaced.
     let first = names.iter().copied().find(|it| duty::on_duty(options, it, "h", &names, 0));
     let rest: Vec<&str> = names.iter().copied().filter(|it| Some(*it) != first).collect();
     let left = rest.iter().filter(|it| duty::on_duty(options, it, "h", &rest, 0)).count();
