--- a/crates/sablepass-core/tests/catalogue.rs
+++ b/crates/sablepass-core/tests/catalogue.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What is in force when declarations clash.
+//! Conflicts between declarations of different documents.
 
 use sablepass_core::catalogue::Catalogue;
 use sablepass_core::config::{Delta, Document, Store, Version, What};
@@ -15,7 +15,7 @@
     format!("[[customer]]\nname = {name:?}\nkey = {key:?}\nshare = 1\n")
 }
 
-/// Documents published one after the other.
+/// Builds the catalogue of documents that were published one after the other.
 fn publish(all: &[(&str, String)]) -> Catalogue {
     let mut store = Store::open(What::Declarations);
     for (index, (key, body)) in all.iter().enumerate() {
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn verify_newcomer_does_not_push_out_what_is_in_force() {
-    // The later document's key sorts first; it is refused all the same.
+fn verify_a_later_document_does_not_displace_declarations_in_force() {
+    // The later document's key sorts first; it is refused nevertheless.
     let catalogue = publish(&[("p/b", target("t", 7)), ("p/a", target("t", 9))]);
     assert_eq!(catalogue.targets["p/t"].it.capacity, 7);
     assert!(matches!(catalogue.refused["p/a"], Error::Clash { .. }));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn verify_partners_cannot_meet() {
+fn verify_documents_of_different_partners_do_not_conflict() {
     let both =
         [("q/a", customer("c", "q:same-key-text")), ("p/a", customer("c", "p:same-key-text"))];
     let catalogue = publish(&both);
