--- a/crates/sablepass-core/tests/outage.rs
+++ b/crates/sablepass-core/tests/outage.rs
@@ -1,51 +1,52 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What counts as an outage of a service, from the calls of one process and the word of others.
+//! Which failures and silences count as an outage, from the calls of this process and the reports
+//! of others.
 
 use sablepass_core::outage::Outages;
 
-/// A service that is well answers so often.
-const QUIET: u64 = 2_000;
+/// Longest time in milliseconds between two answers of a healthy service.
+const MAX_IDLE: u64 = 2_000;
 
-fn well(until: u64) -> Outages {
-    let mut it = Outages::open(QUIET);
-    (1_000..=until).step_by(1_900).for_each(|at| it.answered(at));
-    assert_eq!(it.back(), 0, "a service that answers is not away, nor one that is asked first");
-    it
+fn healthy(until: u64) -> Outages {
+    let mut outages = Outages::open(MAX_IDLE);
+    (1_000..=until).step_by(1_900).for_each(|at| outages.answered(at));
+    assert_eq!(outages.back(), 0, "neither a service that answers nor the first call is an outage");
+    outages
 }
 
 #[test]
-fn verify_a_call_that_is_cut_is_no_outage() {
-    let mut it = well(10_000);
-    it.failed(10_100);
-    it.answered(10_300);
-    assert_eq!(it.back(), 0);
+fn verify_an_interrupted_call_is_no_outage() {
+    let mut outages = healthy(10_000);
+    outages.failed(10_100);
+    outages.answered(10_300);
+    assert_eq!(outages.back(), 0);
 }
 
 #[test]
-fn verify_a_service_that_fails_calls_for_longer_was_away() {
-    let mut it = well(10_000);
-    [10_100, 10_300, 10_700, 11_500].into_iter().for_each(|at| it.failed(at));
-    it.answered(10_050);
-    assert_eq!(it.back(), 0, "an answer from before the first failure says nothing");
-    it.answered(12_000);
-    assert_eq!(it.back(), 12_000);
-    it.answered(12_400);
-    assert_eq!(it.back(), 12_000, "it came back once");
+fn verify_failures_for_longer_are_an_outage() {
+    let mut outages = healthy(10_000);
+    [10_100, 10_300, 10_700, 11_500].into_iter().for_each(|at| outages.failed(at));
+    outages.answered(10_050);
+    assert_eq!(outages.back(), 0, "an answer from before the first failure ends no outage");
+    outages.answered(12_000);
+    assert_eq!(outages.back(), 12_000);
+    outages.answered(12_400);
+    assert_eq!(outages.back(), 12_000, "a later answer does not move the end of the outage");
 }
 
-/// Whoever makes no calls itself is told only of answers.
+/// A process that makes no calls itself receives only reports of answers.
 #[test]
-fn verify_a_service_that_answers_nobody_for_longer_was_away() {
-    let mut it = well(10_000);
-    it.answered(13_500);
-    assert_eq!(it.back(), 13_500);
+fn verify_silence_for_longer_is_an_outage() {
+    let mut outages = healthy(10_000);
+    outages.answered(13_500);
+    assert_eq!(outages.back(), 13_500);
 }
 
 #[test]
-fn verify_a_restored_service_is_back_without_an_outage() {
-    let mut it = well(10_000);
-    it.restored(10_200);
-    assert_eq!(it.back(), 10_200);
+fn verify_a_restore_counts_as_the_end_of_an_outage() {
+    let mut outages = healthy(10_000);
+    outages.restored(10_200);
+    assert_eq!(outages.back(), 10_200);
 }
