--- a/crates/sablepass-core/tests/listing.rs
+++ b/crates/sablepass-core/tests/listing.rs
@@ -1,15 +1,14 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The instance list as several processes hold it: some read the platform's
-//! changes, cut into replies wherever time cuts them, the others learn from
-//! them. Whatever the cuts, all hold what the changes add up to.
+//! The instance list in several processes: some read the platform's changes, split into responses
+//! at any points, and the others receive them from peers. However the changes are split, all stores
+//! converge to their result.
 //!
-//! Seen: after an outage of the list's service most live targets stayed lost to
-//! their entries for good. How: entries of the list lapse in an outage and return
-//! with the same text, and one reply may hold both. Cause: each change of a reply
-//! was compared with what was held before the reply, so that the return was left
-//! out as saying the same, and the removal stood. Proof: these tests.
+//! Guards against losing live targets after an outage of the list's service. An entry of the list
+//! may expire and return with the same text in one response; when each change was compared with the
+//! store's content from before the response, the return was dropped as unchanged and the removal
+//! remained.
 
 use std::collections::BTreeMap;
 
@@ -19,13 +18,13 @@
 use sablepass_core::revision::Revision;
 
 const KEYS: usize = 4;
-/// Texts that an entry of the list has: targets are ready, or leaving.
+/// Texts of an entry: the target is ready, or leaving.
 const TEXTS: [&str; 2] = ["ready", "leaving"];
 const CHANGES: u64 = 24;
 const PROCESSES: usize = 3;
 const SEEDS: u64 = 20_000;
 
-/// The platform's list: every change, in order of its revision.
+/// The platform's list: all changes, in order of their revisions.
 struct Platform {
     changes: Vec<Document>,
 }
@@ -43,7 +42,7 @@
         Self { changes: (1..=CHANGES).map(change).collect() }
     }
 
-    /// What a watch from one revision on answers at another.
+    /// Response to a watch from one revision, at another.
     fn watch(&self, after: Revision, revision: u64) -> Delta {
         let revision = revision.into();
         let within = |it: &&Document| it.newest.revision > after && it.newest.revision <= revision;
@@ -51,7 +50,7 @@
         Delta { after, revision, documents, whole: None }
     }
 
-    /// What a read of everything answers at a revision.
+    /// Response to a read of the complete list at a revision.
     fn range(&self, after: Revision, revision: u64) -> Delta {
         let revision = revision.into();
         let mut all: BTreeMap<&str, &Document> = BTreeMap::new();
@@ -69,14 +68,14 @@
     let mut delta =
         if whole { platform.range(after, revision) } else { platform.watch(after, revision) };
     store.trim(&mut delta);
-    // One that is old by now is ignored.
+    // A response that is outdated by now is ignored.
     let _ = store.merge(delta);
 }
 
 fn pull(stores: &mut [Store], from: usize, to: usize) {
     if let (Compare::Pull(pull), _) = stores[to].compare(stores[from].digest()) {
         for it in stores[from].deltas(&pull, 100) {
-            // As above.
+            // A delta that is outdated by now is ignored.
             let _ = stores[to].merge(it);
         }
     }
@@ -87,8 +86,9 @@
     live.map(|it| (it.key.clone(), it.newest.body.clone())).collect()
 }
 
-/// Has processes read and tell each other in any order until all changes are out.
-fn play(seed: u64, whole: f64) -> Result<(), String> {
+/// Lets processes read the platform and exchange deltas in any order until all changes are
+/// distributed.
+fn run(seed: u64, whole: f64) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let platform = Platform::draw(&mut rng);
     let mut stores: Vec<Store> = (0..PROCESSES).map(|_| Store::open(What::Instances)).collect();
@@ -114,26 +114,26 @@
     let expected: Vec<(String, String)> =
         expected.into_iter().map(|it| (it.key, it.newest.body)).collect();
     for (index, store) in stores.iter().enumerate() {
-        let held = listed(store);
-        if held != expected {
-            return Err(format!("seed {seed}: {index} holds {held:?}, not {expected:?}"));
+        let stored = listed(store);
+        if stored != expected {
+            return Err(format!("seed {seed}: process {index} has {stored:?}, not {expected:?}"));
         }
     }
     Ok(())
 }
 
-fn all_agree(whole: f64) {
-    let wrong: Vec<String> = (0..SEEDS).filter_map(|seed| play(seed, whole).err()).collect();
-    assert!(wrong.is_empty(), "{} of {SEEDS}, the first: {}", wrong.len(), wrong[0]);
+fn check_convergence(whole: f64) {
+    let failures: Vec<String> = (0..SEEDS).filter_map(|seed| run(seed, whole).err()).collect();
+    assert!(failures.is_empty(), "{} of {SEEDS}, the first: {}", failures.len(), failures[0]);
 }
 
 #[test]
-fn verify_processes_that_watch_hold_what_the_changes_add_up_to() {
-    all_agree(0.0);
+fn verify_watching_processes_converge_to_the_result_of_all_changes() {
+    check_convergence(0.0);
 }
 
-/// Some replies are reads of everything, as after the history is gone.
+/// Some responses are reads of the complete list, as after the platform discarded its history.
 #[test]
-fn verify_reads_of_everything_agree_with_watches() {
-    all_agree(0.3);
+fn verify_complete_reads_and_watches_converge() {
+    check_convergence(0.3);
 }
