--- a/crates/sablepass-core/tests/telling.rs
+++ b/crates/sablepass-core/tests/telling.rs
@@ -1,31 +1,31 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What processes tell each other of the instance list, in bytes for each peer: it follows
-//! from what changed for that peer, not from the length of the list.
+//! Bytes of the instance list that processes send to each other: they follow from the changes for
+//! each peer, not from the length of the list.
 //!
-//! Seen: with 300 machines agents sent up to 1,155 kB a second and peaked at 66 MB, ten
-//! times as much as with 100. How it came about: a reader read the list as a whole, as each does at its
-//! start and after the history of the platform's store is gone. Cause: each line of such a
-//! read counted as new, since its target had written it anew with a heartbeat, and was told to
-//! every peer; whoever was behind that read got the whole list, from each reader anew, and two processes that
-//! held the same lines by different revisions asked each other for all of them. Proof: these sums.
+//! Guards against sending the whole list after a complete read, as each reader makes at its start
+//! and after the platform discarded its history. Each line of such a read counted as new, because
+//! its target had rewritten it with a heartbeat, and was sent to every peer; a peer behind the read
+//! got the whole list from each reader, and two processes with the same lines at different
+//! revisions requested all of them from each other. With 300 machines agents sent up to 1,155 kB/s
+//! and used 66 MB, ten times as much as with 100.
 
 use std::collections::BTreeMap;
 
 use sablepass_core::config::{Compare, Delta, Document, Store, Version, What, Whole};
 use sablepass_core::revision::Revision;
 
-/// Targets in the list.
+/// Numbers of targets in the list.
 const SIZES: [usize; 5] = [30, 100, 300, 1_000, 5_000];
-/// Processes that read the platform, and that only hear of it.
+/// Number of processes that read the platform, and of those that receive the list from peers only.
 const READERS: usize = 3;
 const PEERS: usize = 9;
-/// Bytes of a target's line: some address, hall, service and state.
+/// Bytes of a target's line: typical address, hall, service and state.
 const LINE: usize = 180;
-/// Bytes that a peer may be told for one read of everything in which nothing had changed.
+/// Bytes that a peer may receive for a complete read without any change.
 const CHECK: usize = 2 * 1_024;
-/// Lines that come with one that changed: a part of the list is compared at a time.
+/// Lower bound on the number of parts of the list; the lines of a part are sent together.
 const PARTS: usize = 100;
 
 struct Platform {
@@ -38,7 +38,7 @@
     fn open(targets: usize) -> Self {
         let lines = (0..targets).map(|it| (format!("i-{it:08x}"), None)).collect();
         let mut platform = Self { revision: 0, lines, changes: Vec::new() };
-        platform.beat();
+        platform.rewrite_all();
         platform
     }
 
@@ -52,8 +52,8 @@
         self.changes.push(Document { key: key.to_owned(), newest, removed, accepted: None });
     }
 
-    /// Each target writes its line anew, which says the same.
-    fn beat(&mut self) {
+    /// Every target rewrites its line with the same content.
+    fn rewrite_all(&mut self) {
         let keys: Vec<String> = self.lines.keys().cloned().collect();
         for key in keys {
             let body = format!("{key:<LINE$}");
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Some lines lapse, without an end of their targets.
-    fn lapse(&mut self, count: usize) {
+    /// Some lines expire although their targets are live.
+    fn expire(&mut self, count: usize) {
         let keys: Vec<String> = self.lines.keys().take(count).cloned().collect();
         keys.iter().for_each(|it| self.write(it, None));
     }
@@ -86,14 +86,14 @@
 
 struct Fleet {
     stores: Vec<Store>,
-    /// Bytes that each process was told.
-    told: Vec<usize>,
+    /// Bytes received by each process.
+    received: Vec<usize>,
 }
 
 impl Fleet {
     fn open() -> Self {
         let stores = (0..READERS + PEERS).map(|_| Store::open(What::Instances)).collect();
-        Self { stores, told: vec![0; READERS + PEERS] }
+        Self { stores, received: vec![0; READERS + PEERS] }
     }
 
     fn read(&mut self, reader: usize, platform: &Platform, whole: bool) {
@@ -101,15 +101,15 @@
         let after = store.revision();
         let mut delta = if whole { platform.range(after) } else { platform.watch(after) };
         store.trim(&mut delta);
-        store.merge(delta).expect("what is read is not old");
+        store.merge(delta).expect("a fresh read is not outdated");
     }
 
     fn watch(&mut self, platform: &Platform) {
         (0..READERS).for_each(|it| self.read(it, platform, false));
     }
 
-    /// Each process hears of each other one, twice.
-    fn talk(&mut self) {
+    /// Every process compares with every other one, twice.
+    fn exchange(&mut self) {
         let count = self.stores.len();
         for step in 0..2 * count * count {
             let (from, to) = (step % count, step / count % count);
@@ -122,43 +122,44 @@
         let (Compare::Pull(pull), _) = self.stores[to].compare(digest) else { return };
         for it in self.stores[from].deltas(&pull, 16_384) {
             let size = |it: &Document| it.key.len() + it.newest.body.len();
-            self.told[to] += it.documents.iter().map(size).sum::<usize>();
-            // What it sends to ask, and the mask of the answer.
-            let asked = pull.parts.as_ref().map_or(0, |it| 8 * it.hashes().len() + 16);
-            self.told[to] += asked;
-            // One that is old by now is ignored.
+            self.received[to] += it.documents.iter().map(size).sum::<usize>();
+            // The size of its pull, and of the mask in the answer.
+            let requested = pull.parts.as_ref().map_or(0, |it| 8 * it.hashes().len() + 16);
+            self.received[to] += requested;
+            // A delta that is outdated by now is ignored.
             let _ = self.stores[to].merge(it);
         }
     }
 
-    /// What the process that was told most has been told since last asked.
-    fn most(&mut self) -> usize {
-        let told = std::mem::replace(&mut self.told, vec![0; READERS + PEERS]);
-        told.into_iter().max().unwrap_or(0)
+    /// Returns the most bytes that any process received since the last call.
+    fn max_received(&mut self) -> usize {
+        let received = std::mem::replace(&mut self.received, vec![0; READERS + PEERS]);
+        received.into_iter().max().unwrap_or(0)
     }
 
-    fn agrees(&self, platform: &Platform) {
+    fn check_converged(&self, platform: &Platform) {
         let line = |(key, it): (&String, &Option<Version>)| Some((key.clone(), it.clone()?.body));
         let expected: Vec<(String, String)> = platform.lines.iter().filter_map(line).collect();
         for store in &self.stores {
             let live = store.documents().filter(|it| !it.removed);
-            let held: Vec<(String, String)> =
+            let stored: Vec<(String, String)> =
                 live.map(|it| (it.key.clone(), it.newest.body.clone())).collect();
-            assert!(held == expected, "{} of {}", held.len(), expected.len());
+            assert!(stored == expected, "{} of {}", stored.len(), expected.len());
         }
     }
 }
 
-/// A fleet whose readers have read everything, one after the other, and that has talked.
+/// A fleet whose readers have read the complete list one after the other, and whose processes have
+/// exchanged it.
 fn settled(platform: &mut Platform) -> Fleet {
     let mut fleet = Fleet::open();
     for reader in 0..READERS {
         fleet.read(reader, platform, true);
-        platform.beat();
+        platform.rewrite_all();
     }
     fleet.watch(platform);
-    fleet.talk();
-    fleet.agrees(platform);
+    fleet.exchange();
+    fleet.check_converged(platform);
     fleet
 }
 
@@ -167,87 +168,87 @@
 }
 
 #[test]
-fn verify_a_start_tells_the_list_once() {
+fn verify_a_start_sends_the_list_once() {
     for targets in SIZES {
         let mut platform = Platform::open(targets);
-        let told = settled(&mut platform).most();
-        let most = list(targets) + READERS * CHECK;
-        assert!(told <= most, "{targets} targets: {told} bytes, {most} are allowed");
+        let received = settled(&mut platform).max_received();
+        let max = list(targets) + READERS * CHECK;
+        assert!(received <= max, "{targets} targets: {received} bytes, {max} are allowed");
     }
 }
 
 #[test]
-fn verify_a_read_of_everything_tells_nothing_that_is_known() {
+fn verify_a_complete_read_without_changes_sends_no_lines() {
     for targets in SIZES {
         let mut platform = Platform::open(targets);
         let mut fleet = settled(&mut platform);
-        fleet.most();
+        fleet.max_received();
         for round in 0..6 {
-            platform.beat();
+            platform.rewrite_all();
             fleet.read(round % READERS, &platform, true);
-            fleet.talk();
-            platform.beat();
+            fleet.exchange();
+            platform.rewrite_all();
             fleet.watch(&platform);
-            fleet.talk();
-            let told = fleet.most();
-            assert!(told <= 2 * CHECK, "{targets} targets, round {round}: {told} bytes");
-            fleet.agrees(&platform);
+            fleet.exchange();
+            let received = fleet.max_received();
+            assert!(received <= 2 * CHECK, "{targets} targets, round {round}: {received} bytes");
+            fleet.check_converged(&platform);
         }
     }
 }
 
-/// What is compared may differ by nothing but what is gone.
+/// A comparison in which the only difference is a removal.
 #[test]
-fn verify_what_is_gone_is_a_change() {
+fn verify_a_removal_is_a_change() {
     let mut platform = Platform::open(30);
     let mut fleet = settled(&mut platform);
-    platform.lapse(1);
+    platform.expire(1);
     fleet.read(0, &platform, true);
     let (Compare::Pull(pull), _) = fleet.stores[READERS].compare(fleet.stores[0].digest()) else {
-        panic!("it is behind");
+        panic!("the peer is not behind");
     };
     let deltas = fleet.stores[0].deltas(&pull, 16_384);
     let delta = deltas.first().expect("an answer").clone();
     assert_eq!(fleet.stores[READERS].merge(delta.clone()), Ok(true));
     let again = Delta { after: Revision::default(), ..delta };
-    assert!(fleet.stores[READERS].merge(again).is_err(), "it is of a list held before");
-    fleet.talk();
-    fleet.agrees(&platform);
+    assert!(fleet.stores[READERS].merge(again).is_err(), "the delta is for an earlier list");
+    fleet.exchange();
+    fleet.check_converged(&platform);
 }
 
-/// An outage in which some entries lapse and its history is lost.
+/// An outage in which some entries expire and the platform's history is lost.
 #[test]
-fn verify_an_outage_tells_what_lapsed_and_came_back() {
+fn verify_an_outage_sends_only_expired_and_returned_lines() {
     for targets in SIZES {
         let mut platform = Platform::open(targets);
         let mut fleet = settled(&mut platform);
-        fleet.most();
-        let lapsed = 3;
-        platform.lapse(lapsed);
+        fleet.max_received();
+        let expired = 3;
+        platform.expire(expired);
         (0..READERS).for_each(|it| fleet.read(it, &platform, true));
-        fleet.talk();
-        fleet.agrees(&platform);
-        platform.beat();
+        fleet.exchange();
+        fleet.check_converged(&platform);
+        platform.rewrite_all();
         fleet.watch(&platform);
-        fleet.talk();
-        fleet.agrees(&platform);
-        let told = fleet.most();
-        // Gone and back, with what is compared along with each of them.
-        let lines = 2 * lapsed * (targets / PARTS + 2);
-        let most = lines * (LINE + 10) + 4 * CHECK;
-        assert!(told <= most, "{targets} targets: {told} bytes, {most} are allowed");
+        fleet.exchange();
+        fleet.check_converged(&platform);
+        let received = fleet.max_received();
+        // The removal and the return, each with the other lines of its part.
+        let lines = 2 * expired * (targets / PARTS + 2);
+        let max = lines * (LINE + 10) + 4 * CHECK;
+        assert!(received <= max, "{targets} targets: {received} bytes, {max} are allowed");
     }
 }
 
-/// All processes start anew, and hold nothing.
+/// All processes restart with empty stores.
 #[test]
-fn verify_a_restart_of_all_tells_the_list_once() {
+fn verify_a_restart_of_all_sends_the_list_once() {
     for targets in SIZES {
         let mut platform = Platform::open(targets);
         settled(&mut platform);
-        platform.beat();
-        let told = settled(&mut platform).most();
-        let most = list(targets) + READERS * CHECK;
-        assert!(told <= most, "{targets} targets: {told} bytes, {most} are allowed");
+        platform.rewrite_all();
+        let received = settled(&mut platform).max_received();
+        let max = list(targets) + READERS * CHECK;
+        assert!(received <= max, "{targets} targets: {received} bytes, {max} are allowed");
     }
 }
