--- a/crates/sablepass-core/src/config.rs
+++ b/crates/sablepass-core/src/config.rs
@@ -128,14 +128,14 @@
 
 /// Kind of content of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum StoreKind {
     /// Declarations, which are validated before they come into force.
     Declarations = 0,
     /// The instance list, whose lines are stored without validation.
     Instances = 1,
 }
 
-impl What {
+impl StoreKind {
     /// Decodes the number used on the wire.
     pub fn parse(code: u32) -> Option<Self> {
         match code {
@@ -149,7 +149,7 @@
 /// The configuration store of one process, of one kind of content.
 #[derive(Debug)]
 pub struct Store {
-    what: What,
+    what: StoreKind,
     check: Check,
     revision: Revision,
     /// Everything that existed at this revision is stored, possibly at lower revisions; items
@@ -167,12 +167,12 @@
 
 impl Store {
     /// Opens an empty store whose documents are in this project's own format.
-    pub fn open(what: What) -> Self {
+    pub fn open(what: StoreKind) -> Self {
         Self::open_with(what, declaration::check)
     }
 
     /// Opens an empty store whose documents are in another format, validated by `check`.
-    pub fn open_with(what: What, check: Check) -> Self {
+    pub fn open_with(what: StoreKind, check: Check) -> Self {
         Self {
             what,
             check,
@@ -216,8 +216,8 @@
     /// with an invalid edit would not detect the difference.
     pub fn digest(&self) -> Digest {
         let hash = match self.what {
-            What::Instances => self.parts.hash(),
-            What::Declarations => {
+            StoreKind::Instances => self.parts.hash(),
+            StoreKind::Declarations => {
                 let line = |it: &Document| {
                     (it.key.clone(), it.newest.revision, self.revision_in_force(&it.key))
                 };
@@ -253,8 +253,8 @@
     pub fn pull(&self, all: bool) -> Pull {
         match (self.what, all) {
             (_, false) => Pull { after: self.revision, parts: None },
-            (What::Declarations, true) => Pull::default(),
-            (What::Instances, true) => {
+            (StoreKind::Declarations, true) => Pull::default(),
+            (StoreKind::Instances, true) => {
                 Pull { after: self.revision, parts: Some(self.parts.clone()) }
             }
         }
@@ -272,13 +272,13 @@
         }
         if after < self.since {
             return match self.what {
-                What::Declarations => {
+                StoreKind::Declarations => {
                     let documents = self.documents.values().cloned().collect();
                     let whole = Some(Whole::All(self.since));
                     vec![Delta { after, revision: self.revision, documents, whole }]
                 }
                 // The peer pulled before it knew of `since`; after the next digest it compares.
-                What::Instances => Vec::new(),
+                StoreKind::Instances => Vec::new(),
             };
         }
         let mut newer: Vec<&Document> =
@@ -323,7 +323,7 @@
             return Err(Ignored::DeltaGap);
         }
         if let Some(whole) = delta.whole {
-            if self.what == What::Instances {
+            if self.what == StoreKind::Instances {
                 return self.replace(delta, whole);
             }
             self.add_implied_removals(&mut delta);
@@ -358,8 +358,8 @@
     /// Merges a document or a line of the instance list. Returns whether the content changed.
     fn put(&mut self, document: Document) -> bool {
         match self.what {
-            What::Declarations => self.put_document(document),
-            What::Instances => self.put_line(document),
+            StoreKind::Declarations => self.put_document(document),
+            StoreKind::Instances => self.put_line(document),
         }
     }
 }
--- a/crates/sablepass-core/src/config/list.rs
+++ b/crates/sablepass-core/src/config/list.rs
@@ -7,7 +7,7 @@
 
 use crate::config::documents::Rejected;
 use crate::config::parts::Mask;
-use crate::config::{Delta, Document, Store, Version, What, Whole};
+use crate::config::{Delta, Document, Store, Version, StoreKind, Whole};
 use crate::reason::Ignored;
 use crate::revision::Revision;
 
@@ -143,7 +143,7 @@
     /// stored content: a peer that received the removal learns of the return only by a later
     /// revision. A complete listing does not show the changes in between and is not trimmed.
     pub fn trim(&self, delta: &mut Delta) {
-        if self.what != What::Instances || delta.whole.is_some() {
+        if self.what != StoreKind::Instances || delta.whole.is_some() {
             return;
         }
         let other = |it: &&Document| !self.has_same_content(it);
--- a/crates/sablepass-core/tests/catalogue.rs
+++ b/crates/sablepass-core/tests/catalogue.rs
@@ -4,7 +4,7 @@
 //! Conflicts between declarations of different documents.
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, What};
+use sablepass_core::config::{Delta, Document, Store, Version, StoreKind};
 use sablepass_core::declaration::{self, Error};
 
 fn target(name: &str, capacity: u32) -> String {
@@ -17,7 +17,7 @@
 
 /// Builds the catalogue of documents that were published one after the other.
 fn publish(all: &[(&str, String)]) -> Catalogue {
-    let mut store = Store::open(What::Declarations);
+    let mut store = Store::open(StoreKind::Declarations);
     for (index, (key, body)) in all.iter().enumerate() {
         let revision = (index as u64 + 1).into();
         let newest = Version { revision, body: body.clone() };
--- a/crates/sablepass-core/tests/restored.rs
+++ b/crates/sablepass-core/tests/restored.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::config::verdict::Check;
-use sablepass_core::config::{Compare, Delta, Digest, Document, Pull, Store, Version, What, Whole};
+use sablepass_core::config::{Compare, Delta, Digest, Document, Pull, Store, Version, StoreKind, Whole};
 use sablepass_core::declaration::{self, Declarations};
 use sablepass_core::revision::Revision;
 
@@ -121,19 +121,19 @@
 
 struct Fleet {
     mutation: Mutation,
-    what: What,
+    what: StoreKind,
     processes: Vec<Process>,
     /// Bytes of documents and lines sent between processes.
     sent_bytes: usize,
 }
 
 impl Fleet {
-    fn open(what: What, mutation: Mutation) -> Self {
+    fn open(what: StoreKind, mutation: Mutation) -> Self {
         let processes = (0..PROCESSES).map(|_| Self::start(what, mutation)).collect();
         Self { mutation, what, processes, sent_bytes: 0 }
     }
 
-    fn start(what: What, mutation: Mutation) -> Process {
+    fn start(what: StoreKind, mutation: Mutation) -> Process {
         let check: Check =
             if mutation == Mutation::Number { unnumbered } else { declaration::check };
         Process { store: Store::open_with(what, check), read_all: true, version: 0 }
@@ -248,7 +248,7 @@
 fn run(seed: u64, mutation: Mutation) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut platform = Platform::open();
-    let mut fleet = Fleet::open(What::Declarations, mutation);
+    let mut fleet = Fleet::open(StoreKind::Declarations, mutation);
     let mut backups = vec![platform.clone()];
     let mut in_flight: Vec<(usize, Delta)> = Vec::new();
     let mut version = 0;
@@ -332,7 +332,7 @@
 fn run_list(seed: u64) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut platform = Platform::open();
-    let mut fleet = Fleet::open(What::Instances, Mutation::None);
+    let mut fleet = Fleet::open(StoreKind::Instances, Mutation::None);
     let mut backups = vec![platform.clone()];
     let mut live: Vec<String> = Vec::new();
     for step in 0..STEPS {
@@ -392,7 +392,7 @@
     for it in 0..instances {
         platform.write(&format!("i-{it:04}"), Some(format!("{it:<180}")));
     }
-    let mut fleet = Fleet::open(What::Instances, Mutation::None);
+    let mut fleet = Fleet::open(StoreKind::Instances, Mutation::None);
     fleet.settle(2, platform);
     assert!(fleet.processes.iter().all(|it| listed(&it.store).len() == instances));
     fleet
--- a/crates/sablepass-core/tests/telling.rs
+++ b/crates/sablepass-core/tests/telling.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use sablepass_core::config::{Compare, Delta, Document, Store, Version, What, Whole};
+use sablepass_core::config::{Compare, Delta, Document, Store, Version, StoreKind, Whole};
 use sablepass_core::revision::Revision;
 
 /// Numbers of targets in the list.
@@ -92,7 +92,7 @@
 
 impl Fleet {
     fn open() -> Self {
-        let stores = (0..READERS + PEERS).map(|_| Store::open(What::Instances)).collect();
+        let stores = (0..READERS + PEERS).map(|_| Store::open(StoreKind::Instances)).collect();
         Self { stores, received: vec![0; READERS + PEERS] }
     }
 
--- a/crates/sablepass-ctl/src/check.rs
+++ b/crates/sablepass-ctl/src/check.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, What};
+use sablepass_core::config::{Delta, Document, Store, Version, StoreKind};
 use sablepass_core::declaration;
 use sablepass_core::revision::Revision;
 use snafu::{ResultExt, Snafu};
@@ -44,7 +44,7 @@
         });
     }
     let keys: Vec<String> = documents.iter().map(|it| it.key.clone()).collect();
-    let mut store = Store::open(What::Declarations);
+    let mut store = Store::open(StoreKind::Declarations);
     let revision = (files.len() as u64).into();
     let delta = Delta { after: Revision::default(), revision, documents, whole: None };
     store.merge(delta).map_err(|_| Error::Store)?;
--- a/crates/sablepass-edge/src/mesh/held.rs
+++ b/crates/sablepass-edge/src/mesh/held.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use sablepass_core::config::What;
+use sablepass_core::config::StoreKind;
 use sablepass_core::id::Millis;
 use sablepass_core::reason::Ignored;
 use sablepass_core::revision::Revision;
@@ -102,14 +102,14 @@
         }
     }
 
-    fn changed(&mut self, cx: CX![], changed: Option<What>) {
+    fn changed(&mut self, cx: CX![], changed: Option<StoreKind>) {
         match changed {
             None => return,
-            Some(What::Declarations) => {
+            Some(StoreKind::Declarations) => {
                 let catalogue = self.spread.catalogue();
                 self.owner.fwd(Event::Config(Rc::new(catalogue)));
             }
-            Some(What::Instances) => {
+            Some(StoreKind::Instances) => {
                 let listing = Listing {
                     instances: self.spread.instances().clone(),
                     revision: self.spread.list_revision(),
--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use http::header::HeaderMap;
-use sablepass_core::config::{Delta, Document, Version, What, Whole};
+use sablepass_core::config::{Delta, Document, Version, StoreKind, Whole};
 use sablepass_core::revision::Revision;
 use sablepass_platform::{self as platform, config, replica, store};
 use serde::Deserialize;
@@ -118,7 +118,7 @@
 #[derive(Debug)]
 pub struct Read {
     /// Of which service.
-    pub what: What,
+    pub what: StoreKind,
     /// The service's era, if it answered and named one.
     pub era: Option<u64>,
     /// Why the era that it named is not believed.
@@ -138,7 +138,7 @@
 
 /// The actor.
 pub struct Reader {
-    what: What,
+    what: StoreKind,
     form: Form,
     owner: Fwd<Read>,
     metrics: Arc<Metrics>,
@@ -150,7 +150,7 @@
     /// Opens a reader that has made no call.
     pub fn init(
         cx: CX![],
-        what: What,
+        what: StoreKind,
         form: Form,
         addr: SocketAddr,
         metrics: Arc<Metrics>,
@@ -303,17 +303,17 @@
     }
 }
 
-fn name(what: What) -> &'static str {
+fn name(what: StoreKind) -> &'static str {
     match what {
-        What::Declarations => "config",
-        What::Instances => "instances",
+        StoreKind::Declarations => "config",
+        StoreKind::Instances => "instances",
     }
 }
 
-fn prefix(what: What) -> &'static str {
+fn prefix(what: StoreKind) -> &'static str {
     match what {
-        What::Declarations => config::PREFIX,
-        What::Instances => replica::PREFIX,
+        StoreKind::Declarations => config::PREFIX,
+        StoreKind::Instances => replica::PREFIX,
     }
 }
 
@@ -332,20 +332,20 @@
 /// entry that cannot be taken names none, as if it were gone, after a watch as
 /// after a read of everything. A declaration that cannot be read is one that is
 /// refused: the last accepted one stays in force.
-fn document(what: What, era: u64, it: store::Change) -> (Document, Option<Problem>) {
+fn document(what: StoreKind, era: u64, it: store::Change) -> (Document, Option<Problem>) {
     let (key, revision) = (it.key, Revision::new(era, it.revision));
     let body = it.value.and_then(|value| match (what, value) {
-        (What::Instances, Some(text)) => Ok(Some(line(replica::decode(&key, &text)?).text())),
+        (StoreKind::Instances, Some(text)) => Ok(Some(line(replica::decode(&key, &text)?).text())),
         (_, value) => Ok(value),
     });
     let name = match what {
-        What::Instances => key.trim_start_matches(replica::PREFIX).to_owned(),
-        What::Declarations => key.clone(),
+        StoreKind::Instances => key.trim_start_matches(replica::PREFIX).to_owned(),
+        StoreKind::Declarations => key.clone(),
     };
     let (body, problem) = match body {
         Ok(it) => (it, None),
         Err(error) => {
-            let refused = (what == What::Declarations).then(String::new);
+            let refused = (what == StoreKind::Declarations).then(String::new);
             (refused, Some(Problem { key, revision, error }))
         }
     };
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -18,7 +18,7 @@
 
 use sablepass_core::catalogue::Catalogue;
 use sablepass_core::config::verdict::{Check, Verdict};
-use sablepass_core::config::{Compare, Delta, Digest, Document, Store, What};
+use sablepass_core::config::{Compare, Delta, Digest, Document, Store, StoreKind};
 use sablepass_core::declaration;
 use sablepass_core::duty;
 use sablepass_core::id::Millis;
@@ -175,8 +175,8 @@
             call!([reader], Reader::init(what, form, addr, metrics.clone(), to.clone()));
             Source::open(Store::open_with(what, check), reader, form == Form::Keys)
         };
-        let declarations = source(What::Declarations, node.platform_addr());
-        let list = source(What::Instances, node.instances_addr());
+        let declarations = source(StoreKind::Declarations, node.platform_addr());
+        let list = source(StoreKind::Instances, node.instances_addr());
         Self {
             node: node.clone(),
             role,
@@ -207,10 +207,10 @@
         self.instances.values().any(|it| it.role == Role::Entry)
     }
 
-    fn source(&mut self, what: What) -> &mut Source {
+    fn source(&mut self, what: StoreKind) -> &mut Source {
         match what {
-            What::Declarations => &mut self.declarations,
-            What::Instances => &mut self.list,
+            StoreKind::Declarations => &mut self.declarations,
+            StoreKind::Instances => &mut self.list,
         }
     }
 
@@ -304,7 +304,7 @@
     /// What to ask a peer for, given what it holds.
     pub fn compare(&mut self, now: Millis, it: &wire::Digest) -> Vec<wire::Pull> {
         self.fresh = self.fresh.max(now.saturating_sub(Millis::from(it.age)));
-        if self.shared() == What::Instances {
+        if self.shared() == StoreKind::Instances {
             self.outages.answered(self.fresh);
         }
         let declarations = Digest {
@@ -317,11 +317,11 @@
             hash: it.list_hash,
             since: Revision::new(it.list_since_era, it.list_since),
         };
-        let theirs = [(What::Declarations, declarations), (What::Instances, instances)];
+        let theirs = [(StoreKind::Declarations, declarations), (StoreKind::Instances, instances)];
         let mut pulls = Vec::new();
         let began = Revision::new(it.list_began_era, it.list_began);
         if self.list.store.hear_beginning(began) {
-            pulls.push(convert::pull(What::Instances, &self.list.store.pull(true)));
+            pulls.push(convert::pull(StoreKind::Instances, &self.list.store.pull(true)));
         }
         for (what, digest) in theirs {
             if !self.is_held(what) {
@@ -356,7 +356,7 @@
     }
 
     /// Takes a delta in. Returns what changed.
-    pub fn merge(&mut self, what: What, it: Delta) -> Option<What> {
+    pub fn merge(&mut self, what: StoreKind, it: Delta) -> Option<StoreKind> {
         // A revision that brings no document is known to peers by the next digest.
         let empty = it.documents.is_empty() && it.whole.is_none();
         let merged = self.source(what).store.merge(it);
@@ -376,8 +376,8 @@
         }
     }
 
-    fn note(&mut self, what: What) {
-        if what == What::Instances {
+    fn note(&mut self, what: StoreKind) {
+        if what == StoreKind::Instances {
             self.instances = Rc::new(self.parse_instances());
             return;
         }
@@ -389,19 +389,19 @@
     // The platform.
 
     /// The service of which the readers share the reading.
-    fn shared(&self) -> What {
+    fn shared(&self) -> StoreKind {
         match self.node.form {
-            Form::Changes => What::Declarations,
-            Form::Keys => What::Instances,
+            Form::Changes => StoreKind::Declarations,
+            Form::Keys => StoreKind::Instances,
         }
     }
 
     /// Takes a read in. Returns what changed.
-    pub fn read(&mut self, now: Millis, read: Read) -> Option<What> {
+    pub fn read(&mut self, now: Millis, read: Read) -> Option<StoreKind> {
         let what = read.what;
         let ordered = self.source(what).ordered.take().unwrap_or(now);
         self.note_era(now, read.era);
-        if what == What::Instances {
+        if what == StoreKind::Instances {
             self.note_outage(now, &read.result);
         }
         if let Some(e) = &read.doubt {
@@ -446,13 +446,13 @@
 
     /// Takes from a read that is older than what is held the documents that their operator
     /// gave a later number.
-    fn read_stale(&mut self, now: Millis, what: What, delta: Delta) -> Option<What> {
+    fn read_stale(&mut self, now: Millis, what: StoreKind, delta: Delta) -> Option<StoreKind> {
         let (read, held) = (delta.revision, self.source(what).store.revision());
         slog::info!(self.log, "stale read"; "what" => ?what, "era" => read.era,
             "revision" => read.number, "held_era" => held.era, "held" => held.number);
         let source = self.source(what);
         source.next = source.retry_at(now);
-        if what == What::Declarations && delta.whole.is_some() {
+        if what == StoreKind::Declarations && delta.whole.is_some() {
             return self.merge(what, delta);
         }
         self.metrics.ignored(Ignored::OldRevision);
@@ -488,7 +488,7 @@
         }
     }
 
-    fn failed(&mut self, now: Millis, what: What, e: &reader::Error) {
+    fn failed(&mut self, now: Millis, what: StoreKind, e: &reader::Error) {
         let source = self.source(what);
         match e {
             reader::Error::History { .. } | reader::Error::Restored { .. } => {
@@ -508,15 +508,15 @@
     }
 
     /// Least time between two calls.
-    fn pace(&self, what: What) -> Millis {
+    fn pace(&self, what: StoreKind) -> Millis {
         match (self.node.form, what) {
-            (_, What::Declarations) => WATCH_PACE,
-            (_, What::Instances) => self.node.list_every,
+            (_, StoreKind::Declarations) => WATCH_PACE,
+            (_, StoreKind::Instances) => self.node.list_every,
         }
     }
 
     /// Records whether a service is good; a line only when that changes.
-    fn judge(&mut self, what: What, good: bool, why: &str) {
+    fn judge(&mut self, what: StoreKind, good: bool, why: &str) {
         let before = std::mem::replace(&mut self.source(what).good, good);
         match (before, good) {
             (false, true) => slog::info!(self.log, "platform regained"; "what" => ?what),
@@ -531,10 +531,10 @@
         let shared = self.shared();
         let source = self.source(shared);
         let waiting = source.ordered.is_some_and(|at| now < at + limit);
-        if waiting && source.good && shared == What::Declarations {
+        if waiting && source.good && shared == StoreKind::Declarations {
             self.fresh = now;
         }
-        for what in [What::Declarations, What::Instances] {
+        for what in [StoreKind::Declarations, StoreKind::Instances] {
             let source = self.source(what);
             let due = source.ordered.is_none() && now >= source.next;
             if due && self.on_duty(now, what) {
@@ -548,8 +548,8 @@
     /// does not wait: an empty service would hold it. The list of the own
     /// form is not watched. Whoever hears of changes from the readers watches
     /// for longer, in case that it does not.
-    fn wait(&mut self, now: Millis, what: What) -> Duration {
-        let watched = self.node.form == Form::Keys || what == What::Declarations;
+    fn wait(&mut self, now: Millis, what: StoreKind) -> Duration {
+        let watched = self.node.form == Form::Keys || what == StoreKind::Declarations;
         let watch = if self.ranks_as_reader(now) { self.node.watch } else { self.node.watch_rest };
         let wait = if watched && self.source(what).good { watch } else { 0 };
         Duration::from_millis(wait)
@@ -558,18 +558,18 @@
     /// Whether this process holds a copy of what a service has. Agents beside
     /// listed targets need next to nothing of a configuration that may be large
     /// and change often; entries tell them that.
-    fn is_held(&self, what: What) -> bool {
-        !matches!((self.node.form, self.role, what), (Form::Keys, Role::Agent, What::Declarations))
+    fn is_held(&self, what: StoreKind) -> bool {
+        !matches!((self.node.form, self.role, what), (Form::Keys, Role::Agent, StoreKind::Declarations))
     }
 
-    fn on_duty(&self, now: Millis, what: What) -> bool {
+    fn on_duty(&self, now: Millis, what: StoreKind) -> bool {
         match (self.node.form, self.role, what) {
-            (Form::Changes, _, What::Declarations) => self.ranks_as_reader(now),
-            (Form::Changes, _, What::Instances) => {
+            (Form::Changes, _, StoreKind::Declarations) => self.ranks_as_reader(now),
+            (Form::Changes, _, StoreKind::Instances) => {
                 self.instances.is_empty() || self.ranks_as_reader(now)
             }
-            (Form::Keys, Role::Entry, What::Declarations) => true,
-            (Form::Keys, Role::Entry, What::Instances) => {
+            (Form::Keys, Role::Entry, StoreKind::Declarations) => true,
+            (Form::Keys, Role::Entry, StoreKind::Instances) => {
                 self.instances.is_empty() || self.ranks_as_reader(now)
             }
             // Agents are many; what they need they get from entries.
--- a/crates/sablepass-edge/src/spread/removals.rs
+++ b/crates/sablepass-edge/src/spread/removals.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use sablepass_core::config::What;
+use sablepass_core::config::StoreKind;
 use sablepass_core::config::list::Taken;
 use sablepass_core::reason::Ignored;
 use sablepass_core::revision::Revision;
@@ -16,7 +16,7 @@
 
 impl Spread {
     /// Takes what a peer tells of removals. Returns what changed.
-    pub fn take_removals(&mut self, told: &[Removal<'_>]) -> Option<What> {
+    pub fn take_removals(&mut self, told: &[Removal<'_>]) -> Option<StoreKind> {
         let mut changed = false;
         for &(key, at) in told {
             let taken = self.list.store.take_removal(key, at);
@@ -32,8 +32,8 @@
             }
         }
         changed.then(|| {
-            self.note(What::Instances);
-            What::Instances
+            self.note(StoreKind::Instances);
+            StoreKind::Instances
         })
     }
 
--- a/crates/sablepass-edge/src/spread/report.rs
+++ b/crates/sablepass-edge/src/spread/report.rs
@@ -4,7 +4,7 @@
 //! Lines and counts for what the platform says and cannot be taken: one for each change of an
 //! item, not for each read.
 
-use sablepass_core::config::What;
+use sablepass_core::config::StoreKind;
 use sablepass_core::reason::Ignored;
 use sablepass_core::revision::Revision;
 
@@ -14,10 +14,10 @@
 impl Spread {
     /// A line and a count for documents whose operator's number is too low, and for lines of
     /// instances that left.
-    pub(super) fn report_rejected(&mut self, what: What) {
+    pub(super) fn report_rejected(&mut self, what: StoreKind) {
         let (text, reason) = match what {
-            What::Declarations => ("older version not taken", Ignored::OlderVersion),
-            What::Instances => ("line of an instance that left not taken", Ignored::FormerLine),
+            StoreKind::Declarations => ("older version not taken", Ignored::OlderVersion),
+            StoreKind::Instances => ("line of an instance that left not taken", Ignored::FormerLine),
         };
         for it in self.source(what).store.take_rejected() {
             if self.is_reported(what, &it.key, it.revision) {
@@ -30,7 +30,7 @@
     }
 
     /// A count for each answer whose era is not believed, and a line for the first in a row.
-    pub(super) fn report_doubt(&mut self, what: What, e: &sablepass_platform::Error) {
+    pub(super) fn report_doubt(&mut self, what: StoreKind, e: &sablepass_platform::Error) {
         self.metrics.bad_items.with_label_values(&[e.label()]).inc();
         if std::mem::replace(&mut self.doubted, true) {
             return;
@@ -39,7 +39,7 @@
     }
 
     /// Whether a version that cannot be taken is known as such.
-    fn is_reported(&mut self, what: What, key: &str, revision: Revision) -> bool {
+    fn is_reported(&mut self, what: StoreKind, key: &str, revision: Revision) -> bool {
         let bad = &mut self.source(what).bad;
         if bad.len() >= MOST_BAD && !bad.contains_key(key) {
             bad.clear();
@@ -48,7 +48,7 @@
     }
 
     /// A line and a count for each change that cannot be taken, not for each read.
-    pub(super) fn report_problem(&mut self, what: What, it: &Problem) {
+    pub(super) fn report_problem(&mut self, what: StoreKind, it: &Problem) {
         if self.is_reported(what, &it.key, it.revision) {
             return;
         }
--- a/crates/sablepass-load/src/capacity.rs
+++ b/crates/sablepass-load/src/capacity.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, What};
+use sablepass_core::config::{Delta, Document, Store, Version, StoreKind};
 use sablepass_core::expert::drift::{self, Estimate};
 use sablepass_core::expert::map::{Map, Shape};
 use sablepass_core::expert::plan;
@@ -316,7 +316,7 @@
         .collect();
     let bytes: usize = documents.iter().map(|it| it.newest.body.len()).sum();
     let start = Instant::now();
-    let mut store = Store::open(What::Declarations);
+    let mut store = Store::open(StoreKind::Declarations);
     let revision = (documents.len() as u64).into();
     if store.merge(Delta { after: Revision::default(), revision, documents, whole: None }).is_err()
     {
--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use sablepass_core::config::parts::{Mask, Parts};
-use sablepass_core::config::{self, What, Whole};
+use sablepass_core::config::{self, StoreKind, Whole};
 use sablepass_core::expert::map::Bounds;
 use sablepass_core::flight::{Event, Head, Verdict};
 use sablepass_core::id::{AttemptId, Incarnation, RequestId};
@@ -211,7 +211,7 @@
 }
 
 /// The message of a delta.
-pub fn delta(what: What, it: &config::Delta) -> Body {
+pub fn delta(what: StoreKind, it: &config::Delta) -> Body {
     let documents = it.documents.iter().map(document).collect();
     let (whole, since, parts, asked) = match it.whole {
         None => (false, Revision::default(), Vec::new(), 0),
@@ -251,14 +251,14 @@
 }
 
 /// Reads a delta.
-pub fn parse_delta(it: wire::Delta) -> Result<(What, config::Delta), Error> {
+pub fn parse_delta(it: wire::Delta) -> Result<(StoreKind, config::Delta), Error> {
     let what = what("delta", it.what)?;
     let documents = it.documents.into_iter().map(parse_document).collect();
     let parts = (!it.parts.is_empty()).then(|| mask(&it.parts)).transpose()?;
     let whole = match (it.whole, parts) {
         (false, None) => None,
         (true, None) => Some(Whole::All(Revision::new(it.since_era, it.since))),
-        (false, Some(mask)) if what == What::Instances => Some(Whole::Parts(mask, it.asked)),
+        (false, Some(mask)) if what == StoreKind::Instances => Some(Whole::Parts(mask, it.asked)),
         // Declarations are not compared: what is not among some would count as gone.
         (_, Some(_)) => return Err(Error::Field { message: "delta", field: "whole" }),
     };
@@ -274,26 +274,26 @@
 }
 
 /// The message that asks a peer for what it holds.
-pub fn pull(what: What, it: &config::Pull) -> wire::Pull {
+pub fn pull(what: StoreKind, it: &config::Pull) -> wire::Pull {
     let parts = it.parts.as_ref().map_or_else(Vec::new, |it| it.hashes().to_vec());
     wire::Pull { after: it.after.number, what: what as u32, parts, era: it.after.era }
 }
 
 /// Reads what a peer asks for.
-pub fn parse_pull(it: &wire::Pull) -> Result<(What, config::Pull), Error> {
+pub fn parse_pull(it: &wire::Pull) -> Result<(StoreKind, config::Pull), Error> {
     let what = what("pull", it.what)?;
     let after = Revision::new(it.era, it.after);
     if it.parts.is_empty() {
         return Ok((what, config::Pull { after, parts: None }));
     }
     let error = Error::Field { message: "pull", field: "parts" };
-    let parts = Parts::parse(&it.parts).filter(|_| what == What::Instances).ok_or(error)?;
+    let parts = Parts::parse(&it.parts).filter(|_| what == StoreKind::Instances).ok_or(error)?;
     Ok((what, config::Pull { after, parts: Some(parts) }))
 }
 
 /// Reads which store a message is about.
-pub fn what(message: &'static str, code: u32) -> Result<What, Error> {
-    What::parse(code).ok_or(Error::Field { message, field: "what" })
+pub fn what(message: &'static str, code: u32) -> Result<StoreKind, Error> {
+    StoreKind::parse(code).ok_or(Error::Field { message, field: "what" })
 }
 
 fn parse_document(it: wire::Document) -> config::Document {
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::QuickCheck;
 use sablepass_core::config::parts::{Mask, Parts};
-use sablepass_core::config::{Delta, Document, Pull, Version, What, Whole};
+use sablepass_core::config::{Delta, Document, Pull, Version, StoreKind, Whole};
 use sablepass_core::expert::demand;
 use sablepass_core::flight::{Event, Verdict};
 use sablepass_core::id::{AttemptId, Life, RequestId};
@@ -118,9 +118,9 @@
     };
     let parts = Some(Whole::Parts(Mask(1 << 127 | 5), 77));
     let wholes = [
-        (What::Declarations, None),
-        (What::Declarations, Some(Whole::All(Revision::new(3, 3)))),
-        (What::Instances, parts),
+        (StoreKind::Declarations, None),
+        (StoreKind::Declarations, Some(Whole::All(Revision::new(3, 3)))),
+        (StoreKind::Instances, parts),
     ];
     for (what, whole) in wholes {
         let documents = vec![document.clone()];
@@ -137,7 +137,7 @@
 fn verify_pulls_survive() {
     let mut parts = Parts::default();
     parts.toggle("i-1", "a line");
-    for (what, parts) in [(What::Declarations, None), (What::Instances, Some(parts))] {
+    for (what, parts) in [(StoreKind::Declarations, None), (StoreKind::Instances, Some(parts))] {
         let pull = Pull { after: Revision::new(4, 3), parts };
         let read = convert::parse_pull(&convert::pull(what, &pull)).expect("read");
         assert_eq!(read, (what, pull));
