--- a/crates/sablepass-core/src/config.rs
+++ b/crates/sablepass-core/src/config.rs
@@ -84,7 +84,7 @@
 
 /// Marks a delta that lists the complete content, rather than changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whole {
+pub enum Coverage {
     /// The complete store: a document that is not named does not exist. The sender has every
     /// removal after this revision.
     All(Revision),
@@ -93,7 +93,7 @@
     Parts(Mask, u64),
 }
 
-impl Whole {
+impl Coverage {
     fn mask(self) -> Mask {
         match self {
             Self::All(_) => Mask::ALL,
@@ -112,7 +112,7 @@
     /// The changed documents, or all of them.
     pub documents: Vec<Document>,
     /// Set if the documents are the complete content rather than changes.
-    pub whole: Option<Whole>,
+    pub whole: Option<Coverage>,
 }
 
 /// Action that follows from comparing with a peer's digest.
@@ -274,7 +274,7 @@
             return match self.what {
                 StoreKind::Declarations => {
                     let documents = self.documents.values().cloned().collect();
-                    let whole = Some(Whole::All(self.since));
+                    let whole = Some(Coverage::All(self.since));
                     vec![Delta { after, revision: self.revision, documents, whole }]
                 }
                 // The peer pulled before it knew of `since`; after the next digest it compares.
@@ -311,7 +311,7 @@
         let mask = self.parts.differing(parts);
         let listed = self.documents.values().filter(|it| !it.removed && mask.has(&it.key));
         let documents = listed.cloned().collect();
-        let whole = Some(Whole::Parts(mask, parts.hash()));
+        let whole = Some(Coverage::Parts(mask, parts.hash()));
         Delta { after, revision: self.revision, documents, whole }
     }
 
@@ -335,7 +335,7 @@
             changed |= self.put(document);
         }
         // Items added and removed between the two revisions are unknown.
-        if let Some(Whole::All(since)) = delta.whole
+        if let Some(Coverage::All(since)) = delta.whole
             && since > self.revision
         {
             self.since = since;
--- a/crates/sablepass-core/src/config/list.rs
+++ b/crates/sablepass-core/src/config/list.rs
@@ -7,7 +7,7 @@
 
 use crate::config::documents::Rejected;
 use crate::config::parts::Mask;
-use crate::config::{Delta, Document, Store, Version, StoreKind, Whole};
+use crate::config::{Delta, Document, Store, Version, StoreKind, Coverage};
 use crate::reason::Ignored;
 use crate::revision::Revision;
 
@@ -26,8 +26,8 @@
     /// Merges the complete content of some parts of the list. Returns whether any line changed. A
     /// line with the same content counts as unchanged and is not forwarded: a peer that is behind
     /// this revision compares instead.
-    pub(super) fn replace(&mut self, delta: Delta, whole: Whole) -> Result<bool, Ignored> {
-        let other = matches!(whole, Whole::Parts(_, of) if of != self.parts.hash());
+    pub(super) fn replace(&mut self, delta: Delta, whole: Coverage) -> Result<bool, Ignored> {
+        let other = matches!(whole, Coverage::Parts(_, of) if of != self.parts.hash());
         if delta.revision < self.revision || other {
             return Err(Ignored::OldRevision);
         }
--- a/crates/sablepass-core/tests/listing.rs
+++ b/crates/sablepass-core/tests/listing.rs
@@ -14,7 +14,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sablepass_core::config::{Compare, Delta, Document, Store, Version, StoreKind, Whole};
+use sablepass_core::config::{Compare, Delta, Document, Store, Version, StoreKind, Coverage};
 use sablepass_core::revision::Revision;
 
 const KEYS: usize = 4;
@@ -58,7 +58,7 @@
             all.insert(&it.key, it);
         }
         let documents = all.into_values().filter(|it| !it.removed).cloned().collect();
-        let whole = Some(Whole::All(revision));
+        let whole = Some(Coverage::All(revision));
         Delta { after: after.min(revision), revision, documents, whole }
     }
 }
--- a/crates/sablepass-core/tests/restored.rs
+++ b/crates/sablepass-core/tests/restored.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::config::verdict::Check;
-use sablepass_core::config::{Compare, Delta, Digest, Document, Pull, Store, Version, StoreKind, Whole};
+use sablepass_core::config::{Compare, Delta, Digest, Document, Pull, Store, Version, StoreKind, Coverage};
 use sablepass_core::declaration::{self, Declarations};
 use sablepass_core::revision::Revision;
 
@@ -77,7 +77,7 @@
     fn range(&self, after: Revision) -> Delta {
         let revision = Revision::new(self.era, self.number);
         let documents = self.items.values().cloned().collect();
-        let whole = Some(Whole::All(revision));
+        let whole = Some(Coverage::All(revision));
         Delta { after: after.min(revision), revision, documents, whole }
     }
 
@@ -99,8 +99,8 @@
         document.newest.revision = without_era(document.newest.revision);
     }
     it.whole = it.whole.map(|whole| match whole {
-        Whole::All(since) => Whole::All(without_era(since)),
-        parts @ Whole::Parts(..) => parts,
+        Coverage::All(since) => Coverage::All(without_era(since)),
+        parts @ Coverage::Parts(..) => parts,
     });
     it
 }
--- a/crates/sablepass-core/tests/telling.rs
+++ b/crates/sablepass-core/tests/telling.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use sablepass_core::config::{Compare, Delta, Document, Store, Version, StoreKind, Whole};
+use sablepass_core::config::{Compare, Delta, Document, Store, Version, StoreKind, Coverage};
 use sablepass_core::revision::Revision;
 
 /// Numbers of targets in the list.
@@ -80,7 +80,7 @@
         };
         let documents = self.lines.iter().filter_map(line).collect();
         let revision = self.revision.into();
-        Delta { after, revision, documents, whole: Some(Whole::All(revision)) }
+        Delta { after, revision, documents, whole: Some(Coverage::All(revision)) }
     }
 }
 
--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use http::header::HeaderMap;
-use sablepass_core::config::{Delta, Document, Version, StoreKind, Whole};
+use sablepass_core::config::{Delta, Document, Version, StoreKind, Coverage};
 use sablepass_core::revision::Revision;
 use sablepass_platform::{self as platform, config, replica, store};
 use serde::Deserialize;
@@ -292,7 +292,7 @@
             documents.push(it);
             problems.extend(problem);
         }
-        let whole = whole.then_some(Whole::All(revision));
+        let whole = whole.then_some(Coverage::All(revision));
         Batch { delta: Delta { after, revision, documents, whole }, problems }
     }
 
--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use sablepass_core::config::parts::{Mask, Parts};
-use sablepass_core::config::{self, StoreKind, Whole};
+use sablepass_core::config::{self, StoreKind, Coverage};
 use sablepass_core::expert::map::Bounds;
 use sablepass_core::flight::{Event, Head, Verdict};
 use sablepass_core::id::{AttemptId, Incarnation, RequestId};
@@ -215,8 +215,8 @@
     let documents = it.documents.iter().map(document).collect();
     let (whole, since, parts, asked) = match it.whole {
         None => (false, Revision::default(), Vec::new(), 0),
-        Some(Whole::All(since)) => (true, since, Vec::new(), 0),
-        Some(Whole::Parts(mask, asked)) => {
+        Some(Coverage::All(since)) => (true, since, Vec::new(), 0),
+        Some(Coverage::Parts(mask, asked)) => {
             (false, Revision::default(), mask.0.to_le_bytes().to_vec(), asked)
         }
     };
@@ -257,8 +257,8 @@
     let parts = (!it.parts.is_empty()).then(|| mask(&it.parts)).transpose()?;
     let whole = match (it.whole, parts) {
         (false, None) => None,
-        (true, None) => Some(Whole::All(Revision::new(it.since_era, it.since))),
-        (false, Some(mask)) if what == StoreKind::Instances => Some(Whole::Parts(mask, it.asked)),
+        (true, None) => Some(Coverage::All(Revision::new(it.since_era, it.since))),
+        (false, Some(mask)) if what == StoreKind::Instances => Some(Coverage::Parts(mask, it.asked)),
         // Declarations are not compared: what is not among some would count as gone.
         (_, Some(_)) => return Err(Error::Field { message: "delta", field: "whole" }),
     };
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::QuickCheck;
 use sablepass_core::config::parts::{Mask, Parts};
-use sablepass_core::config::{Delta, Document, Pull, Version, StoreKind, Whole};
+use sablepass_core::config::{Delta, Document, Pull, Version, StoreKind, Coverage};
 use sablepass_core::expert::demand;
 use sablepass_core::flight::{Event, Verdict};
 use sablepass_core::id::{AttemptId, Life, RequestId};
@@ -116,10 +116,10 @@
         removed: false,
         accepted: Some(Version { revision: Revision::new(1, 9), body: "y".to_owned() }),
     };
-    let parts = Some(Whole::Parts(Mask(1 << 127 | 5), 77));
+    let parts = Some(Coverage::Parts(Mask(1 << 127 | 5), 77));
     let wholes = [
         (StoreKind::Declarations, None),
-        (StoreKind::Declarations, Some(Whole::All(Revision::new(3, 3)))),
+        (StoreKind::Declarations, Some(Coverage::All(Revision::new(3, 3)))),
         (StoreKind::Instances, parts),
     ];
     for (what, whole) in wholes {
