--- a/crates/sablepass-core/src/config/list.rs
+++ b/crates/sablepass-core/src/config/list.rs
@@ -13,7 +13,7 @@
 
 /// Result of merging a removal that a peer reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum RemovalOutcome {
     /// The removal was known, or the instance has written its line since.
     Known,
     /// The removal was new, and the instance was not listed.
@@ -82,18 +82,18 @@
     }
 
     /// Merges the removal of an instance, at revision `at`, that a peer reported.
-    pub fn take_removal(&mut self, key: &str, at: Revision) -> Taken {
+    pub fn take_removal(&mut self, key: &str, at: Revision) -> RemovalOutcome {
         let held = self.documents.get(key).filter(|it| !it.removed);
         let Some(line) = held.map(|it| it.newest.revision) else {
             let new = self.removals.record(key, at);
-            return if new { Taken::New } else { Taken::Known };
+            return if new { RemovalOutcome::New } else { RemovalOutcome::Known };
         };
         if line >= at && !self.removals.is_from_backup(line, at) {
-            return Taken::Known;
+            return RemovalOutcome::Known;
         }
         self.remove(key);
         self.removals.record(key, at);
-        Taken::Listed
+        RemovalOutcome::Listed
     }
 
     /// The removals kept, with their revisions.
--- a/crates/sablepass-edge/src/spread/removals.rs
+++ b/crates/sablepass-edge/src/spread/removals.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use sablepass_core::config::StoreKind;
-use sablepass_core::config::list::Taken;
+use sablepass_core::config::list::RemovalOutcome;
 use sablepass_core::reason::Ignored;
 use sablepass_core::revision::Revision;
 use sablepass_wire::removals::Removal;
@@ -20,11 +20,11 @@
         let mut changed = false;
         for &(key, at) in told {
             let taken = self.list.store.take_removal(key, at);
-            if taken == Taken::Known {
+            if taken == RemovalOutcome::Known {
                 continue;
             }
             self.untold.insert(key.to_owned(), at);
-            if taken == Taken::Listed {
+            if taken == RemovalOutcome::Listed {
                 slog::warn!(self.log, "instance listed that left before"; "key" => key,
                     "era" => at.era, "revision" => at.number);
                 self.metrics.ignored(Ignored::FormerLine);
