--- a/crates/sablepass-core/src/config/list.rs
+++ b/crates/sablepass-core/src/config/list.rs
@@ -33,7 +33,7 @@
         }
         let newer = delta.revision > self.revision;
         if delta.revision.era > self.revision.era {
-            self.removals.begin(delta.revision);
+            self.removals.observe_first_read(delta.revision);
         }
         let mut changed = false;
         for key in self.unnamed(&delta, whole.mask()) {
@@ -103,13 +103,13 @@
 
     /// Merges the earliest revision of an era at which a peer knows the list to have been read.
     /// Returns true if lines that were rejected as coming from a backup may be live after all.
-    pub fn hear_beginning(&mut self, read: Revision) -> bool {
-        self.removals.begin(read) && self.removals.iter().next().is_some()
+    pub fn observe_first_read(&mut self, read: Revision) -> bool {
+        self.removals.observe_first_read(read) && self.removals.iter().next().is_some()
     }
 
     /// The earliest known revision of the present era at which any process read the list.
-    pub fn beginning(&self) -> Revision {
-        self.removals.began()
+    pub fn first_read(&self) -> Revision {
+        self.removals.first_read()
     }
 
     /// Keys of listed instances in some parts that a complete listing neither names nor predates.
--- a/crates/sablepass-core/src/config/removals.rs
+++ b/crates/sablepass-core/src/config/removals.rs
@@ -22,7 +22,7 @@
     removals: BTreeMap<String, Revision>,
     order: BTreeSet<(Revision, String)>,
     /// Earliest known revision of the latest era at which any process read the list.
-    began: Revision,
+    first_read: Revision,
 }
 
 impl Removals {
@@ -46,17 +46,17 @@
     /// Records that a process read the list at a revision. Returns true if that is earlier than
     /// known so far in the same era, so that lines rejected as coming from a backup may be live
     /// after all.
-    pub fn begin(&mut self, read: Revision) -> bool {
-        let earlier = read.era == self.began.era && read < self.began;
-        if earlier || read.era > self.began.era {
-            self.began = read;
+    pub fn observe_first_read(&mut self, read: Revision) -> bool {
+        let earlier = read.era == self.first_read.era && read < self.first_read;
+        if earlier || read.era > self.first_read.era {
+            self.first_read = read;
         }
         earlier
     }
 
     /// The earliest known revision of the latest era at which any process read the list.
-    pub fn began(&self) -> Revision {
-        self.began
+    pub fn first_read(&self) -> Revision {
+        self.first_read
     }
 
     /// All removals, with their revisions.
@@ -68,10 +68,10 @@
     /// that was unchanged by the restore keeps its revision of an earlier era, and is compared with
     /// the removal directly.
     pub fn is_from_backup(&self, line: Revision, removal: Revision) -> bool {
-        if line.era < self.began.era {
+        if line.era < self.first_read.era {
             return line < removal;
         }
-        line.era > removal.era && line <= self.began
+        line.era > removal.era && line <= self.first_read
     }
 
     /// Whether a line is accepted: its instance was not removed, or has written the line since. In
--- a/crates/sablepass-core/tests/restored.rs
+++ b/crates/sablepass-core/tests/restored.rs
@@ -173,8 +173,8 @@
 
     /// The deltas with which one process answers another's pull.
     fn pull(&mut self, from: usize, to: usize) -> Vec<Delta> {
-        let began = self.processes[from].store.beginning();
-        self.processes[to].store.hear_beginning(began);
+        let began = self.processes[from].store.first_read();
+        self.processes[to].store.observe_first_read(began);
         let mut digest: Digest = self.processes[from].store.digest();
         if self.mutation == Mutation::Digest {
             digest.revision = without_era(digest.revision);
@@ -221,11 +221,11 @@
             return;
         }
         let sender = &self.processes[from].store;
-        let began = sender.beginning();
+        let began = sender.first_read();
         let removals: Vec<(String, Revision)> =
             sender.removals().map(|(key, at)| (key.to_owned(), at)).collect();
         for to in &mut self.processes {
-            to.store.hear_beginning(began);
+            to.store.observe_first_read(began);
             for (key, at) in &removals {
                 to.store.take_removal(key, *at);
             }
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -226,7 +226,7 @@
 
     /// The earliest revision of the list's era at which anybody is known to have read it.
     pub fn list_beginning(&self) -> Revision {
-        self.list.store.beginning()
+        self.list.store.first_read()
     }
 
     /// Time since the service that readers share the reading of last answered
@@ -296,8 +296,8 @@
             era: declarations.revision.era,
             list_era: instances.revision.era,
             list_since_era: instances.since.era,
-            list_began: self.list.store.beginning().number,
-            list_began_era: self.list.store.beginning().era,
+            list_began: self.list.store.first_read().number,
+            list_began_era: self.list.store.first_read().era,
         }
     }
 
@@ -320,7 +320,7 @@
         let theirs = [(StoreKind::Declarations, declarations), (StoreKind::Instances, instances)];
         let mut pulls = Vec::new();
         let began = Revision::new(it.list_began_era, it.list_began);
-        if self.list.store.hear_beginning(began) {
+        if self.list.store.observe_first_read(began) {
             pulls.push(convert::pull(StoreKind::Instances, &self.list.store.pull(true)));
         }
         for (what, digest) in theirs {
