--- a/crates/sablepass-core/src/outage.rs
+++ b/crates/sablepass-core/src/outage.rs
@@ -24,14 +24,14 @@
     /// Start of the current outage.
     failed_since: Option<Millis>,
     /// End of the last outage or restore; 0 if there was none.
-    back: Millis,
+    recovered_at: Millis,
 }
 
 impl Outages {
     /// Creates the state without an outage. A healthy service answers at least one process every
     /// `max_idle` milliseconds.
     pub fn open(max_idle: Millis) -> Self {
-        Self { max_idle, answered: 0, failed_since: None, back: 0 }
+        Self { max_idle, answered: 0, failed_since: None, recovered_at: 0 }
     }
 
     /// Records a failed call whose answer was due at `due`.
@@ -47,18 +47,18 @@
         let failed = self.failed_since.take().is_some_and(|since| at > since + MIN_OUTAGE);
         let silent = self.answered > 0 && at > self.answered + self.max_idle + MIN_OUTAGE;
         if failed || silent {
-            self.back = at;
+            self.recovered_at = at;
         }
         self.answered = at;
     }
 
     /// Records that the service was restored from a backup.
     pub fn restored(&mut self, now: Millis) {
-        self.back = now;
+        self.recovered_at = now;
     }
 
     /// End of the last outage or restore; 0 if there was none.
-    pub fn back(&self) -> Millis {
-        self.back
+    pub fn recovered_at(&self) -> Millis {
+        self.recovered_at
     }
 }
--- a/crates/sablepass-core/tests/outage.rs
+++ b/crates/sablepass-core/tests/outage.rs
@@ -12,7 +12,7 @@
 fn healthy(until: u64) -> Outages {
     let mut outages = Outages::open(MAX_IDLE);
     (1_000..=until).step_by(1_900).for_each(|at| outages.answered(at));
-    assert_eq!(outages.back(), 0, "neither a service that answers nor the first call is an outage");
+    assert_eq!(outages.recovered_at(), 0, "neither a service that answers nor the first call is an outage");
     outages
 }
 
@@ -21,7 +21,7 @@
     let mut outages = healthy(10_000);
     outages.failed(10_100);
     outages.answered(10_300);
-    assert_eq!(outages.back(), 0);
+    assert_eq!(outages.recovered_at(), 0);
 }
 
 #[test]
@@ -29,11 +29,11 @@
     let mut outages = healthy(10_000);
     [10_100, 10_300, 10_700, 11_500].into_iter().for_each(|at| outages.failed(at));
     outages.answered(10_050);
-    assert_eq!(outages.back(), 0, "an answer from before the first failure ends no outage");
+    assert_eq!(outages.recovered_at(), 0, "an answer from before the first failure ends no outage");
     outages.answered(12_000);
-    assert_eq!(outages.back(), 12_000);
+    assert_eq!(outages.recovered_at(), 12_000);
     outages.answered(12_400);
-    assert_eq!(outages.back(), 12_000, "a later answer does not move the end of the outage");
+    assert_eq!(outages.recovered_at(), 12_000, "a later answer does not move the end of the outage");
 }
 
 /// A process that makes no calls itself receives only reports of answers.
@@ -41,12 +41,12 @@
 fn verify_silence_for_longer_is_an_outage() {
     let mut outages = healthy(10_000);
     outages.answered(13_500);
-    assert_eq!(outages.back(), 13_500);
+    assert_eq!(outages.recovered_at(), 13_500);
 }
 
 #[test]
 fn verify_a_restore_counts_as_the_end_of_an_outage() {
     let mut outages = healthy(10_000);
     outages.restored(10_200);
-    assert_eq!(outages.back(), 10_200);
+    assert_eq!(outages.recovered_at(), 10_200);
 }
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -246,7 +246,7 @@
 
     /// When the service of the instance list last came back; 0 if it never was away.
     pub fn back(&self) -> Millis {
-        self.outages.back()
+        self.outages.recovered_at()
     }
 
     /// The instances listed, by name.
