--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -108,35 +108,35 @@
         (log, metrics): (Logger, Arc<Metrics>),
     ) -> Result<Self, Refused> {
         let members: Vec<String> =
-            it.it.members.iter().map(|name| format!("{}/{name}", it.partner)).collect();
+            it.resource.members.iter().map(|name| format!("{}/{name}", it.partner)).collect();
         if members.len() > MEMBERS {
             return Err(Refused::TooMany);
         }
         let me = members.iter().position(|it| it == target).ok_or(Refused::NotMember)?;
         let shape = Shape {
-            ranks: it.it.ranks as usize,
-            layers: it.it.layers as usize,
-            experts: it.it.experts as usize,
-            slots: it.it.slots as usize,
+            ranks: it.resource.ranks as usize,
+            layers: it.resource.layers as usize,
+            experts: it.resource.experts as usize,
+            slots: it.resource.slots as usize,
         };
         let options = plan::Options {
-            skew_weight: it.it.skew_weight,
-            move_weight: it.it.move_weight,
+            skew_weight: it.resource.skew_weight,
+            move_weight: it.resource.move_weight,
             ..plan::Options::default()
         };
         let fixed = Fixed {
-            name: format!("{}/{}", it.partner, it.it.name),
+            name: format!("{}/{}", it.partner, it.resource.name),
             shape,
             members,
             me: me as u8,
             options,
-            quiet: it.it.quiet_hours,
+            quiet: it.resource.quiet_hours,
             from: if checks_fence { now } else { now + QUIESCE },
         };
         orders.send(Command::Map);
         Ok(Self {
             fixed,
-            declaration: it.it.clone(),
+            declaration: it.resource.clone(),
             log,
             metrics,
             orders,
@@ -158,7 +158,7 @@
 
     /// Whether the declaration is still this one.
     pub fn is(&self, it: &Declared<Declaration>) -> bool {
-        self.declaration == it.it
+        self.declaration == it.resource
     }
 
     /// Names of the other members.
--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -165,7 +165,7 @@
     fn declare(&mut self, it: &Catalogue) {
         let name = &self.settings.node.name;
         self.gate.declare(clock::now(), it.siblings(name));
-        self.capacity = it.targets.get(name).map_or(0, |it| it.it.capacity);
+        self.capacity = it.targets.get(name).map_or(0, |it| it.resource.capacity);
         self.stop_at = it.stops.get(name).copied();
     }
 
--- a/crates/sablepass-agent/src/member.rs
+++ b/crates/sablepass-agent/src/member.rs
@@ -22,7 +22,7 @@
         let short = name.rsplit('/').next().unwrap_or(name);
         let owner = name.split('/').next().unwrap_or(name);
         let mine = |it: &&Declared<declaration::Group>| {
-            it.partner == owner && it.it.members.iter().any(|member| member == short)
+            it.partner == owner && it.resource.members.iter().any(|member| member == short)
         };
         let Some(declared) = it.groups.values().find(mine) else {
             self.group = None;
@@ -31,7 +31,7 @@
         if self.group.as_ref().is_some_and(|it| it.is(declared)) {
             return;
         }
-        let checks = it.targets.get(name).is_some_and(|it| it.it.checks_fence);
+        let checks = it.targets.get(name).is_some_and(|it| it.resource.checks_fence);
         let orders = Orders::spawn(&self.settings.target, self.fence, self.engine.clone());
         let telemetry = (self.log.clone(), self.metrics.clone());
         match Group::open(clock::now(), declared, name, checks, orders, telemetry) {
--- a/crates/sablepass-core/src/catalogue.rs
+++ b/crates/sablepass-core/src/catalogue.rs
@@ -24,9 +24,9 @@
     /// The partner that owns it.
     pub partner: String,
     /// Key of the document that declares it.
-    pub holder: String,
+    pub document: String,
     /// The resource.
-    pub it: T,
+    pub resource: T,
 }
 
 /// All resources in force, by qualified name `partner/name`.
@@ -82,14 +82,14 @@
         let partner = declaration::partner(key)?.to_owned();
         let qualify = |name: &str| format!("{partner}/{name}");
         for target in &declared.target {
-            self.check_unused(key, "target", &qualify(&target.name), |c, n| holder(&c.targets, n))?;
+            self.check_unused(key, "target", &qualify(&target.name), |c, n| declared_in(&c.targets, n))?;
         }
         for group in &declared.group {
-            self.check_unused(key, "group", &qualify(&group.name), |c, n| holder(&c.groups, n))?;
+            self.check_unused(key, "group", &qualify(&group.name), |c, n| declared_in(&c.groups, n))?;
         }
         for customer in &declared.customer {
             self.check_unused(key, "customer", &qualify(&customer.name), |c, n| {
-                holder(&c.customers, n)
+                declared_in(&c.customers, n)
             })?;
             if let Some(other) = customer.all_keys().find_map(|it| self.keys.get(it)) {
                 return Err(conflict(key, "customer key of", &customer.name, other));
@@ -105,21 +105,21 @@
                 return Err(conflict(key, "service", &service.name, "another document"));
             }
         }
-        let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
+        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         for target in declared.target {
             self.targets.insert(qualify(&target.name), own(target));
         }
-        let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
+        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         for group in declared.group {
             self.groups.insert(qualify(&group.name), own(group));
         }
-        let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
+        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         for customer in declared.customer {
             let name = qualify(&customer.name);
             self.keys.extend(customer.all_keys().map(|it| (it.clone(), name.clone())));
             self.customers.insert(qualify(&customer.name), own(customer));
         }
-        let own = |it| Declared { partner: partner.clone(), holder: key.to_owned(), it };
+        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         self.grants.extend(declared.grant.into_iter().map(own));
         for stop in declared.stop {
             self.stops.insert(qualify(&stop.target), stop.at);
@@ -142,7 +142,7 @@
         find: impl Fn(&Self, &str) -> Option<String>,
     ) -> Result<()> {
         match find(self, name) {
-            Some(holder) => Err(conflict(key, kind, name, &holder)),
+            Some(document) => Err(conflict(key, kind, name, &document)),
             None => Ok(()),
         }
     }
@@ -150,7 +150,7 @@
     /// Names of the targets that serve `serves`, the qualified name of a model or service.
     pub fn serving(&self, kind: Kind, serves: &str) -> Vec<String> {
         let fits = |it: &Declared<Target>| {
-            it.it.kind == kind && serves == format!("{}/{}", it.partner, it.it.serves)
+            it.resource.kind == kind && serves == format!("{}/{}", it.partner, it.resource.serves)
         };
         self.targets.iter().filter(|(_, it)| fits(it)).map(|(name, _)| name.clone()).collect()
     }
@@ -161,7 +161,7 @@
         let Some(it) = self.targets.get(target) else {
             return Vec::new();
         };
-        self.serving(it.it.kind, &format!("{}/{}", it.partner, it.it.serves))
+        self.serving(it.resource.kind, &format!("{}/{}", it.partner, it.resource.serves))
     }
 
     /// The part, 0 to 1, of the capacity of `serves` that customers of `partner` may use; 1 for the
@@ -171,17 +171,22 @@
             return 1.0;
         }
         let fits = |it: &&Declared<Grant>| {
-            it.partner == owner && it.it.to == partner && it.it.serves == serves
+            it.partner == owner && it.resource.to == partner && it.resource.serves == serves
         };
-        self.grants.iter().find(fits).map_or(0.0, |it| it.it.part)
+        self.grants.iter().find(fits).map_or(0.0, |it| it.resource.part)
     }
 }
 
 /// Key of the document that declares `name`.
-fn holder<T>(map: &BTreeMap<String, Declared<T>>, name: &str) -> Option<String> {
-    map.get(name).map(|it| it.holder.clone())
+fn declared_in<T>(map: &BTreeMap<String, Declared<T>>, name: &str) -> Option<String> {
+    map.get(name).map(|it| it.document.clone())
 }
 
-fn conflict(key: &str, kind: &'static str, name: &str, holder: &str) -> Error {
-    Error::Clash { key: key.to_owned(), kind, name: name.to_owned(), holder: holder.to_owned() }
+fn conflict(key: &str, kind: &'static str, name: &str, document: &str) -> Error {
+    Error::Clash {
+        key: key.to_owned(),
+        kind,
+        name: name.to_owned(),
+        document: document.to_owned(),
+    }
 }
--- a/crates/sablepass-core/src/declaration.rs
+++ b/crates/sablepass-core/src/declaration.rs
@@ -58,7 +58,7 @@
         name: String,
     },
     /// A name is declared more than once.
-    #[snafu(display("{key}: {kind} {name:?} is declared already, in {holder}"))]
+    #[snafu(display("{key}: {kind} {name:?} is declared already, in {document}"))]
     Clash {
         /// The document key.
         key: String,
@@ -67,7 +67,7 @@
         /// The name.
         name: String,
         /// Key of the document that declares it already.
-        holder: String,
+        document: String,
     },
     /// A value is outside its range.
     #[snafu(display("{key}: {kind} {name:?}: {field} = {value}; allowed is {allowed}"))]
@@ -591,7 +591,7 @@
                     key: self.key.to_owned(),
                     kind,
                     name: name.to_owned(),
-                    holder: self.key.to_owned(),
+                    document: self.key.to_owned(),
                 });
             }
         }
--- a/crates/sablepass-core/tests/catalogue.rs
+++ b/crates/sablepass-core/tests/catalogue.rs
@@ -37,7 +37,7 @@
 fn verify_a_later_document_does_not_displace_declarations_in_force() {
     // The later document's key sorts first; it is refused nevertheless.
     let catalogue = publish(&[("p/b", target("t", 7)), ("p/a", target("t", 9))]);
-    assert_eq!(catalogue.targets["p/t"].it.capacity, 7);
+    assert_eq!(catalogue.targets["p/t"].resource.capacity, 7);
     assert!(matches!(catalogue.refused["p/a"], Error::Clash { .. }));
     assert!(!catalogue.refused.contains_key("p/b"));
 }
--- a/crates/sablepass-ctl/src/check.rs
+++ b/crates/sablepass-ctl/src/check.rs
@@ -67,9 +67,9 @@
 }
 
 fn summary(catalogue: &Catalogue, key: &str) -> String {
-    let targets = catalogue.targets.values().filter(|it| it.holder == key).count();
-    let groups = catalogue.groups.values().filter(|it| it.holder == key).count();
-    let customers = catalogue.customers.values().filter(|it| it.holder == key).count();
-    let grants = catalogue.grants.iter().filter(|it| it.holder == key).count();
+    let targets = catalogue.targets.values().filter(|it| it.document == key).count();
+    let groups = catalogue.groups.values().filter(|it| it.document == key).count();
+    let customers = catalogue.customers.values().filter(|it| it.document == key).count();
+    let grants = catalogue.grants.iter().filter(|it| it.document == key).count();
     format!("targets {targets}, groups {groups}, customers {customers}, grants {grants}")
 }
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -84,9 +84,9 @@
         let mut names: Vec<String> = catalogue
             .targets
             .values()
-            .filter(|it| it.it.kind == Kind::Model)
-            .filter(|it| catalogue.granted(&customer.partner, &it.partner, &it.it.serves) > 0.0)
-            .map(|it| format!("{}/{}", it.partner, it.it.serves))
+            .filter(|it| it.resource.kind == Kind::Model)
+            .filter(|it| catalogue.granted(&customer.partner, &it.partner, &it.resource.serves) > 0.0)
+            .map(|it| format!("{}/{}", it.partner, it.resource.serves))
             .collect();
         names.sort();
         names.dedup();
@@ -209,15 +209,15 @@
         let resolved = self.targets.resolve(&declared.partner, kind, name);
         let served = resolved.ok_or(Refusal::UnknownModel)?;
         let (owner, serves) = served.1.split_once('/').ok_or(Refusal::UnknownModel)?;
-        let priority = run.priority.unwrap_or_default().min(declared.it.priority);
-        if run.priority.is_some_and(|it| it > declared.it.priority) {
+        let priority = run.priority.unwrap_or_default().min(declared.resource.priority);
+        if run.priority.is_some_and(|it| it > declared.resource.priority) {
             return Err(Refusal::NotGranted);
         }
         let room = self.targets.room(now, &served);
         let ticket = self.admission.admit(&admit::Ask {
             customer: &customer,
             partner: &declared.partner,
-            streams: declared.it.streams,
+            streams: declared.resource.streams,
             share: share(catalogue, declared),
             serves: &served.1,
             owner,
@@ -254,7 +254,7 @@
         let (customer, partner, streams, share, told) = match &known {
             Some((name, it)) => {
                 let share = share(catalogue, it);
-                (name.as_str(), it.partner.as_str(), it.it.streams, share, Some(&it.it.name))
+                (name.as_str(), it.partner.as_str(), it.resource.streams, share, Some(&it.resource.name))
             }
             None => ("", "", KEYLESS_STREAMS, 1.0, None),
         };
@@ -295,6 +295,6 @@
 /// A customer's part of the shares of its partner's customers.
 fn share(catalogue: &Catalogue, it: &Declared<Customer>) -> f64 {
     let peers = catalogue.customers.values().filter(|other| other.partner == it.partner);
-    let shares: u64 = peers.map(|it| u64::from(it.it.share)).sum();
-    f64::from(it.it.share) / shares.max(1) as f64
+    let shares: u64 = peers.map(|it| u64::from(it.resource.share)).sum();
+    f64::from(it.resource.share) / shares.max(1) as f64
 }
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -427,7 +427,7 @@
             Some(it) => (&it.instance.hall, it.instance.capacity),
             None => {
                 let declared = self.catalogue.targets.get(name)?;
-                (&declared.it.hall, declared.it.capacity)
+                (&declared.resource.hall, declared.resource.capacity)
             }
         };
         Some(Candidate {
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -184,7 +184,7 @@
         self.find_replaced();
         self.serving.clear();
         for (name, it) in &self.catalogue.targets {
-            let served = (it.it.kind, format!("{}/{}", it.partner, it.it.serves));
+            let served = (it.resource.kind, format!("{}/{}", it.partner, it.resource.serves));
             self.serving.entry(served).or_default().push(name.clone());
         }
         for (name, it) in &self.listed {
