--- a/crates/sablepass-core/src/starts.rs
+++ b/crates/sablepass-core/src/starts.rs
@@ -73,7 +73,7 @@
 
 /// A stream that requests to start.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct StartRequest {
     /// Id of its request.
     pub id: RequestId,
     /// Arrival time.
@@ -88,7 +88,7 @@
 
 /// Decision on when a stream may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum StartDecision {
     /// The stream starts at once.
     Now,
     /// The stream waits; the estimated wait in milliseconds.
@@ -101,8 +101,8 @@
 /// Queue of a service's streams that wait to start, in order of arrival, with the estimates on
 /// which decisions are based.
 #[derive(Clone, Debug)]
-pub struct Starts {
-    waiting: VecDeque<Ask>,
+pub struct StartQueue {
+    waiting: VecDeque<StartRequest>,
     /// Start times of streams whose prompts are still being read.
     start_times: VecDeque<Millis>,
     /// Estimated median duration of a stream, in milliseconds.
@@ -115,7 +115,7 @@
     counted_at: Millis,
 }
 
-impl Default for Starts {
+impl Default for StartQueue {
     fn default() -> Self {
         Self {
             waiting: VecDeque::new(),
@@ -128,37 +128,37 @@
     }
 }
 
-impl Starts {
+impl StartQueue {
     /// Decides when a stream may start. One that has to wait is added to the queue.
-    pub fn ask(&mut self, now: Millis, ask: &Ask, room: Room) -> Turn {
-        self.record_arrival(now, f64::from(u8::from(!ask.resumed)));
-        let turn = self.decide(now, ask, room);
-        match turn {
-            Turn::Now => self.record_start(now),
-            Turn::Wait(_) => self.waiting.push_back(*ask),
-            Turn::Refuse(_) => {}
+    pub fn request(&mut self, now: Millis, stream: &StartRequest, room: Room) -> StartDecision {
+        self.record_arrival(now, f64::from(u8::from(!stream.resumed)));
+        let decision = self.decide(now, stream, room);
+        match decision {
+            StartDecision::Now => self.record_start(now),
+            StartDecision::Wait(_) => self.waiting.push_back(*stream),
+            StartDecision::Refuse(_) => {}
         }
-        turn
+        decision
     }
 
-    fn decide(&self, now: Millis, ask: &Ask, room: Room) -> Turn {
+    fn decide(&self, now: Millis, stream: &StartRequest, room: Room) -> StartDecision {
         match room {
-            Room::Free => Turn::Now,
-            Room::Closed => Turn::Refuse(None),
+            Room::Free => StartDecision::Now,
+            Room::Closed => StartDecision::Refuse(None),
             Room::Opens { within, places, sure } => {
-                self.decide_before_ready(now, ask, within, places, sure)
+                self.decide_before_ready(now, stream, within, places, sure)
             }
-            Room::Open { .. } if self.ahead(now, ask) == 0 && self.can_start(now, ask, room) => {
-                Turn::Now
+            Room::Open { .. } if self.ahead(now, stream) == 0 && self.can_start(now, stream, room) => {
+                StartDecision::Now
             }
             Room::Open { places, load, reads } => {
-                let excess = self.excess(now, ask, places, load);
-                if self.is_late(now, ask) {
-                    self.decide_late(now, ask, excess, load, reads)
+                let excess = self.excess(now, stream, places, load);
+                if self.is_late(now, stream) {
+                    self.decide_late(now, stream, excess, load, reads)
                 } else {
                     let wait =
-                        self.ends_needed(now, ask, excess) * self.duration_ms / load.max(1.0);
-                    self.wait_or_refuse(now, ask, wait, ask.objective, wait)
+                        self.ends_needed(now, stream, excess) * self.duration_ms / load.max(1.0);
+                    self.wait_or_refuse(now, stream, wait, stream.objective, wait)
                 }
             }
         }
@@ -169,42 +169,42 @@
     fn decide_before_ready(
         &self,
         now: Millis,
-        ask: &Ask,
+        stream: &StartRequest,
         within: Millis,
         places: f64,
         sure: bool,
-    ) -> Turn {
+    ) -> StartDecision {
         let total = self.waiting.len() as f64 + 1.0 + self.reserved_places();
         let beyond = (total - places).max(0.0);
         let wait = within as f64 + beyond * self.duration_ms / places.max(1.0);
-        if beyond <= 0.0 && self.in_time(now, ask, wait, ask.patience) {
-            return Turn::Wait(wait as Millis);
+        if beyond <= 0.0 && self.in_time(now, stream, wait, stream.patience) {
+            return StartDecision::Wait(wait as Millis);
         }
-        Turn::Refuse(sure.then_some(wait as Millis))
+        StartDecision::Refuse(sure.then_some(wait as Millis))
     }
 
     /// Decides on a late stream. While there are places it waits only for prompts to be read;
     /// otherwise it waits only if streams end faster than new ones arrive.
-    fn decide_late(&self, now: Millis, ask: &Ask, excess: f64, load: f64, reads: f64) -> Turn {
-        let ahead = self.ahead(now, ask) as f64;
+    fn decide_late(&self, now: Millis, stream: &StartRequest, excess: f64, load: f64, reads: f64) -> StartDecision {
+        let ahead = self.ahead(now, stream) as f64;
         if excess + ahead < 0.0 {
-            return Turn::Wait(((ahead + 1.0) * self.first_event_ms / reads.max(1.0)) as Millis);
+            return StartDecision::Wait(((ahead + 1.0) * self.first_event_ms / reads.max(1.0)) as Millis);
         }
-        let ends_needed = self.ends_needed(now, ask, excess);
+        let ends_needed = self.ends_needed(now, stream, excess);
         let freed = load / self.duration_ms - self.arrivals / ARRIVAL_WINDOW_MS;
         let wait = if freed > 0.0 { ends_needed / freed } else { f64::MAX };
         self.wait_or_refuse(
             now,
-            ask,
+            stream,
             wait,
-            ask.patience,
+            stream.patience,
             ends_needed * self.duration_ms / load.max(1.0),
         )
     }
 
     /// Number of streams that must end before this one can start, itself included.
-    fn ends_needed(&self, now: Millis, ask: &Ask, excess: f64) -> f64 {
-        self.ahead(now, ask) as f64 + 1.0 + excess.max(0.0)
+    fn ends_needed(&self, now: Millis, stream: &StartRequest, excess: f64) -> f64 {
+        self.ahead(now, stream) as f64 + 1.0 + excess.max(0.0)
     }
 
     /// Waits if its first event comes within `limit` milliseconds of its arrival when it starts
@@ -212,21 +212,21 @@
     fn wait_or_refuse(
         &self,
         now: Millis,
-        ask: &Ask,
+        stream: &StartRequest,
         wait: f64,
         limit: Millis,
         retry_after: f64,
-    ) -> Turn {
-        match self.in_time(now, ask, wait, limit) {
-            true => Turn::Wait(wait as Millis),
-            false => Turn::Refuse(Some(retry_after as Millis)),
+    ) -> StartDecision {
+        match self.in_time(now, stream, wait, limit) {
+            true => StartDecision::Wait(wait as Millis),
+            false => StartDecision::Refuse(Some(retry_after as Millis)),
         }
     }
 
     /// Whether a stream's first event comes within `limit` milliseconds of its arrival if it starts
     /// after `wait`.
-    fn in_time(&self, now: Millis, ask: &Ask, wait: f64, limit: Millis) -> bool {
-        let waited = now.saturating_sub(ask.arrived) as f64;
+    fn in_time(&self, now: Millis, stream: &StartRequest, wait: f64, limit: Millis) -> bool {
+        let waited = now.saturating_sub(stream.arrived) as f64;
         waited + wait + self.first_event_ms * FIRST_EVENT_FACTOR <= limit as f64
     }
 
@@ -236,20 +236,20 @@
     }
 
     /// Number of streams above the limit if this one starts; negative while there are free places.
-    fn excess(&self, now: Millis, ask: &Ask, places: f64, load: f64) -> f64 {
-        let late = self.is_late(now, ask);
+    fn excess(&self, now: Millis, stream: &StartRequest, places: f64, load: f64) -> f64 {
+        let late = self.is_late(now, stream);
         let reserved_places = if late { self.reserved_places() } else { 0.0 };
         load + 1.0 + reserved_places - places
     }
 
     /// Whether a stream can start now. A late stream waits until the prompts of others are read,
     /// since reading many in one pass delays all active streams.
-    fn can_start(&self, now: Millis, ask: &Ask, room: Room) -> bool {
+    fn can_start(&self, now: Millis, stream: &StartRequest, room: Room) -> bool {
         match room {
             Room::Free => true,
             Room::Open { places, load, reads } => {
-                let may_read = !self.is_late(now, ask) || self.prompts_being_read(now) < reads;
-                may_read && self.excess(now, ask, places, load) < 0.0
+                let may_read = !self.is_late(now, stream) || self.prompts_being_read(now) < reads;
+                may_read && self.excess(now, stream, places, load) < 0.0
             }
             Room::Opens { .. } | Room::Closed => false,
         }
@@ -268,14 +268,14 @@
     }
 
     /// Whether a stream's first event misses its objective even if it starts now.
-    fn is_late(&self, now: Millis, ask: &Ask) -> bool {
-        let waited = now.saturating_sub(ask.arrived) as f64;
-        ask.resumed || waited + self.first_event_ms * FIRST_EVENT_FACTOR > ask.objective as f64
+    fn is_late(&self, now: Millis, stream: &StartRequest) -> bool {
+        let waited = now.saturating_sub(stream.arrived) as f64;
+        stream.resumed || waited + self.first_event_ms * FIRST_EVENT_FACTOR > stream.objective as f64
     }
 
     /// Number of waiting streams that go before this one: those in time before late ones.
-    fn ahead(&self, now: Millis, ask: &Ask) -> usize {
-        let late = self.is_late(now, ask);
+    fn ahead(&self, now: Millis, stream: &StartRequest) -> usize {
+        let late = self.is_late(now, stream);
         self.waiting.iter().filter(|it| late || !self.is_late(now, it)).count()
     }
 
@@ -290,49 +290,49 @@
     }
 
     /// The stream that starts next: the first one that is in time, or else the first one.
-    pub fn front(&self, now: Millis) -> Option<Ask> {
+    pub fn front(&self, now: Millis) -> Option<StartRequest> {
         let in_time = self.waiting.iter().find(|it| !self.is_late(now, it));
         in_time.or(self.waiting.front()).copied()
     }
 
     /// Removes and returns the stream that starts next, if there is capacity for it.
     pub fn next(&mut self, now: Millis, room: Room) -> Option<RequestId> {
-        let ask = self.front(now)?;
-        if !self.can_start(now, &ask, room) {
+        let stream = self.front(now)?;
+        if !self.can_start(now, &stream, room) {
             return None;
         }
-        self.waiting.retain(|it| it.id != ask.id);
+        self.waiting.retain(|it| it.id != stream.id);
         self.record_start(now);
-        Some(ask.id)
+        Some(stream.id)
     }
 
     /// Removes and returns a stream that cannot start before its caller gives up, with the
     /// estimated milliseconds until a start would be possible.
     pub fn give_up(&mut self, now: Millis, room: Room) -> Option<(RequestId, Option<Millis>)> {
-        let too_late = |it: &Ask| {
+        let too_late = |it: &StartRequest| {
             let waited = now.saturating_sub(it.arrived) as f64;
             waited + self.first_event_ms * FIRST_EVENT_FACTOR > it.patience as f64
         };
         let at = self.waiting.iter().position(|it| room == Room::Closed || too_late(it))?;
-        let ask = self.waiting.remove(at)?;
+        let stream = self.waiting.remove(at)?;
         let retry_after = match room {
             Room::Opens { within, sure: true, .. } => Some(within),
             Room::Open { load, .. } => Some((self.duration_ms / load.max(1.0)) as Millis),
             Room::Opens { .. } | Room::Free | Room::Closed => None,
         };
-        Some((ask.id, retry_after))
+        Some((stream.id, retry_after))
     }
 
     /// Estimated median time from the start of a request to its first event, in milliseconds.
-    pub fn opens(&self) -> Millis {
+    pub fn time_to_first_event(&self) -> Millis {
         self.first_event_ms as Millis
     }
 
     /// Records a stream that ended: its duration and the time to its first event, both from its
     /// start on, in milliseconds.
-    pub fn lasted(&mut self, lasted: Millis, opened: Millis) {
-        move_median(&mut self.duration_ms, lasted as f64);
-        move_median(&mut self.first_event_ms, opened as f64);
+    pub fn record_end(&mut self, duration: Millis, first_event: Millis) {
+        move_median(&mut self.duration_ms, duration as f64);
+        move_median(&mut self.first_event_ms, first_event as f64);
     }
 
     fn record_arrival(&mut self, now: Millis, arrivals: f64) {
--- a/crates/sablepass-core/tests/starts.rs
+++ b/crates/sablepass-core/tests/starts.rs
@@ -5,11 +5,11 @@
 
 use sablepass_core::id::{Millis, RequestId};
 use sablepass_core::pass::{Steps, Times};
-use sablepass_core::starts::{Ask, Room, Starts, Turn};
+use sablepass_core::starts::{Room, StartDecision, StartQueue, StartRequest};
 
 /// A stream that arrives at this time, in milliseconds.
-fn ask(id: u128, arrived: Millis) -> Ask {
-    Ask { id: RequestId(id), arrived, objective: 500, patience: 2_000, resumed: false }
+fn stream(id: u128, arrived: Millis) -> StartRequest {
+    StartRequest { id: RequestId(id), arrived, objective: 500, patience: 2_000, resumed: false }
 }
 
 /// Capacity for this many streams besides the 20 active ones.
@@ -19,22 +19,22 @@
 
 #[test]
 fn verify_streams_start_at_once_with_free_capacity_or_without_a_limit() {
-    let mut starts = Starts::default();
-    assert_eq!(starts.ask(0, &ask(1, 0), room(1.5)), Turn::Now);
-    assert_eq!(starts.ask(0, &ask(2, 0), Room::Free), Turn::Now);
+    let mut starts = StartQueue::default();
+    assert_eq!(starts.request(0, &stream(1, 0), room(1.5)), StartDecision::Now);
+    assert_eq!(starts.request(0, &stream(2, 0), Room::Free), StartDecision::Now);
     assert!(starts.is_idle());
 }
 
 #[test]
 fn verify_streams_wait_in_order_and_behind_each_other() {
-    let mut starts = Starts::default();
+    let mut starts = StartQueue::default();
     assert_eq!(
-        starts.ask(0, &ask(1, 0), room(1.0)),
-        Turn::Wait(100),
+        starts.request(0, &stream(1, 0), room(1.0)),
+        StartDecision::Wait(100),
         "of 20 streams of 2 s, 10 end in a second"
     );
     // There would be capacity, but another stream came first.
-    assert_eq!(starts.ask(0, &ask(2, 0), room(1.5)), Turn::Wait(200));
+    assert_eq!(starts.request(0, &stream(2, 0), room(1.5)), StartDecision::Wait(200));
     assert_eq!(starts.next(0, room(0.5)), None, "no capacity");
     assert_eq!(starts.next(0, room(2.0)), Some(RequestId(1)));
     assert_eq!(starts.next(0, room(2.0)), Some(RequestId(2)));
@@ -43,21 +43,21 @@
 
 #[test]
 fn verify_streams_that_would_be_late_are_refused_with_a_retry_time() {
-    let mut starts = Starts::default();
-    assert_eq!(starts.ask(0, &ask(1, 0), room(-2.0)), Turn::Refuse(Some(400)));
+    let mut starts = StartQueue::default();
+    assert_eq!(starts.request(0, &stream(1, 0), room(-2.0)), StartDecision::Refuse(Some(400)));
     assert!(starts.is_idle(), "a refused stream does not wait");
     // The stream has already waited too long for its objective.
-    assert_eq!(starts.ask(200, &ask(2, 0), room(1.0)), Turn::Refuse(Some(100)));
+    assert_eq!(starts.request(200, &stream(2, 0), room(1.0)), StartDecision::Refuse(Some(100)));
     // Shorter streams free capacity sooner.
-    (0..100).for_each(|_| starts.lasted(500, 100));
-    assert!(matches!(starts.ask(0, &ask(3, 0), room(-2.0)), Turn::Wait(_)));
+    (0..100).for_each(|_| starts.record_end(500, 100));
+    assert!(matches!(starts.request(0, &stream(3, 0), room(-2.0)), StartDecision::Wait(_)));
 }
 
 #[test]
 fn verify_removed_streams_leave_the_queue() {
-    let mut starts = Starts::default();
-    starts.ask(0, &ask(1, 0), room(1.0));
-    starts.ask(0, &ask(2, 0), room(1.0));
+    let mut starts = StartQueue::default();
+    starts.request(0, &stream(1, 0), room(1.0));
+    starts.request(0, &stream(2, 0), room(1.0));
     starts.retain(|it| *it != RequestId(1));
     assert_eq!(starts.front(0).map(|it| it.id), Some(RequestId(2)));
 }
@@ -66,17 +66,17 @@
 /// it was lost, are late already; new arrivals are not.
 #[test]
 fn verify_a_ready_group_with_a_backlog_starts_streams_in_time_first() {
-    let mut starts = Starts::default();
+    let mut starts = StartQueue::default();
     let opening = Room::Opens { within: 600, places: 20.0, sure: true };
     for id in 0..14 {
-        let turn = starts.ask(100, &ask(id, 100), opening);
-        assert!(matches!(turn, Turn::Wait(_)), "stream {id}: {turn:?}");
+        let turn = starts.request(100, &stream(id, 100), opening);
+        assert!(matches!(turn, StartDecision::Wait(_)), "stream {id}: {turn:?}");
     }
-    let interrupted = Ask { resumed: true, ..ask(99, 650) };
-    assert!(matches!(starts.ask(650, &interrupted, opening), Turn::Wait(_)));
+    let interrupted = StartRequest { resumed: true, ..stream(99, 650) };
+    assert!(matches!(starts.request(650, &interrupted, opening), StartDecision::Wait(_)));
     // Streams beyond the places that there will be are refused and do not wait.
-    let turns: Vec<Turn> = (90..98).map(|id| starts.ask(660, &ask(id, 660), opening)).collect();
-    assert!(matches!(turns[7], Turn::Refuse(Some(601..))), "{turns:?}");
+    let turns: Vec<StartDecision> = (90..98).map(|id| starts.request(660, &stream(id, 660), opening)).collect();
+    assert!(matches!(turns[7], StartDecision::Refuse(Some(601..))), "{turns:?}");
     assert_eq!(starts.next(699, opening), None, "no stream starts before the group is ready");
     // The group is ready. Streams in time start first, whenever they arrived, and late ones after
     // them.
@@ -90,18 +90,18 @@
     assert!(started[in_time..].iter().all(|it| *it < 15 || *it == 99), "{started:?}");
     assert!((10..19).contains(&started.len()), "late streams leave places free: {started:?}");
     let load = started.len() as f64;
-    assert_eq!(starts.ask(710, &ask(201, 710), open(load)), Turn::Now, "streams in time go first");
+    assert_eq!(starts.request(710, &stream(201, 710), open(load)), StartDecision::Now, "streams in time go first");
 }
 
 #[test]
 fn verify_late_streams_start_as_fast_as_prompts_are_read() {
-    let mut starts = Starts::default();
+    let mut starts = StartQueue::default();
     let room = Room::Open { places: 100.0, load: 20.0, reads: 4.0 };
-    let interrupted = |id| Ask { resumed: true, ..ask(id, 0) };
-    let turns: Vec<Turn> = (0..8).map(|id| starts.ask(0, &interrupted(id), room)).collect();
-    assert_eq!(turns[..4], [Turn::Now; 4]);
-    assert!(turns[4..].iter().all(|it| matches!(it, Turn::Wait(1..=200))), "{turns:?}");
-    assert_eq!(starts.ask(10, &ask(50, 10), room), Turn::Now, "a stream in time does not wait");
+    let interrupted = |id| StartRequest { resumed: true, ..stream(id, 0) };
+    let turns: Vec<StartDecision> = (0..8).map(|id| starts.request(0, &interrupted(id), room)).collect();
+    assert_eq!(turns[..4], [StartDecision::Now; 4]);
+    assert!(turns[4..].iter().all(|it| matches!(it, StartDecision::Wait(1..=200))), "{turns:?}");
+    assert_eq!(starts.request(10, &stream(50, 10), room), StartDecision::Now, "a stream in time does not wait");
     assert_eq!(starts.next(100, room), None, "five prompts are being read");
     assert_eq!(starts.next(205, room), Some(RequestId(4)));
     assert_eq!(starts.next(205, room), Some(RequestId(5)));
@@ -109,16 +109,16 @@
 
 #[test]
 fn verify_streams_that_cannot_start_are_refused_at_once() {
-    let mut starts = Starts::default();
-    assert_eq!(starts.ask(0, &ask(1, 0), Room::Closed), Turn::Refuse(None));
+    let mut starts = StartQueue::default();
+    assert_eq!(starts.request(0, &stream(1, 0), Room::Closed), StartDecision::Refuse(None));
     // Its first event would come after its caller has given up.
     let late = Room::Opens { within: 1_800, places: 20.0, sure: true };
-    assert_eq!(starts.ask(0, &ask(2, 0), late), Turn::Refuse(Some(1_800)));
+    assert_eq!(starts.request(0, &stream(2, 0), late), StartDecision::Refuse(Some(1_800)));
     let uncertain = Room::Opens { within: 1_800, places: 20.0, sure: false };
-    assert_eq!(starts.ask(0, &ask(2, 0), uncertain), Turn::Refuse(None), "the time is unknown");
+    assert_eq!(starts.request(0, &stream(2, 0), uncertain), StartDecision::Refuse(None), "the time is unknown");
     // A waiting stream is refused when the group is lost again.
     let opening = Room::Opens { within: 600, places: 20.0, sure: true };
-    assert_eq!(starts.ask(0, &ask(3, 0), opening), Turn::Wait(600));
+    assert_eq!(starts.request(0, &stream(3, 0), opening), StartDecision::Wait(600));
     assert_eq!(starts.give_up(100, opening), None);
     assert_eq!(starts.give_up(100, Room::Closed), Some((RequestId(3), None)));
     assert!(starts.is_idle());
@@ -128,23 +128,23 @@
 /// rather than left to wait for capacity that will not come.
 #[test]
 fn verify_late_streams_do_not_wait_while_streams_in_time_use_all_capacity() {
-    let mut starts = Starts::default();
+    let mut starts = StartQueue::default();
     let full = Room::Open { places: 20.0, load: 20.0, reads: 4.0 };
     // Ten streams end in a second, and ten arrive.
     for id in 0..60 {
         let now = u64::try_from(id).expect("small") * 100;
-        starts.ask(now, &ask(id, now), full);
+        starts.request(now, &stream(id, now), full);
         starts.next(now, Room::Free);
     }
-    let interrupted = Ask { resumed: true, ..ask(100, 6_000) };
-    assert!(matches!(starts.ask(6_000, &interrupted, full), Turn::Refuse(Some(_))));
+    let interrupted = StartRequest { resumed: true, ..stream(100, 6_000) };
+    assert!(matches!(starts.request(6_000, &interrupted, full), StartDecision::Refuse(Some(_))));
 }
 
 #[test]
 fn verify_an_interrupted_stream_waits_as_long_as_its_caller() {
-    let mut starts = Starts::default();
-    let interrupted = Ask { resumed: true, ..ask(1, 0) };
-    assert_eq!(starts.ask(0, &interrupted, room(-3.0)), Turn::Wait(400 + 100));
+    let mut starts = StartQueue::default();
+    let interrupted = StartRequest { resumed: true, ..stream(1, 0) };
+    assert_eq!(starts.request(0, &interrupted, room(-3.0)), StartDecision::Wait(400 + 100));
     assert_eq!(starts.give_up(1_700, room(-3.0)), None);
     let (id, turn) = starts.give_up(1_900, room(-3.0)).expect("its caller is about to give up");
     assert_eq!((id, turn), (RequestId(1), Some(100)));
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -17,7 +17,7 @@
 use sablepass_core::id::{AttemptId, Incarnation, Millis, RequestId};
 use sablepass_core::outcome::Failure;
 use sablepass_core::reason::{Ignored, Refusal};
-use sablepass_core::starts::Starts;
+use sablepass_core::starts::StartQueue;
 use sablepass_edge::client;
 use sablepass_edge::clock;
 use sablepass_edge::mesh::Mesh;
@@ -67,7 +67,7 @@
     pub(crate) open: HashMap<RequestId, Open>,
     pub(crate) exchanges: HashMap<ExchangeKey, RequestId>,
     /// Streams that wait to begin, by service.
-    pub(crate) starts: HashMap<Served, Starts>,
+    pub(crate) starts: HashMap<Served, StartQueue>,
     pub(crate) pool: Pool,
     pub(crate) traces: Traces,
     /// Requests that end their targets.
@@ -363,7 +363,7 @@
                 let (served, started) = (open.served.clone(), open.started);
                 let opened = (open.run.arrived + open.first).saturating_sub(started);
                 let starts = self.starts.entry(served).or_default();
-                starts.lasted(now.saturating_sub(started), opened);
+                starts.record_end(now.saturating_sub(started), opened);
                 self.traces.add(now, id, Step::Answered);
                 self.ran_whole(id);
             }
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -5,7 +5,7 @@
 
 use sablepass_core::id::{Millis, RequestId};
 use sablepass_core::reason::Refusal;
-use sablepass_core::starts::{self, Ask, Room, Turn};
+use sablepass_core::starts::{self, Room, StartDecision, StartRequest};
 use sablepass_edge::clock;
 use stakker::CX;
 
@@ -23,7 +23,7 @@
         let (arrived, resumed) = (open.run.arrived, open.run.resumed);
         let left = open.flight.request().deadline.saturating_sub(arrived);
         let patience = starts::patience(route.objective, pause).min(left);
-        let ask = Ask { id, arrived, objective: route.objective, patience, resumed };
+        let ask = StartRequest { id, arrived, objective: route.objective, patience, resumed };
         let served = open.served.clone();
         let mut room = self.targets.begins(now, &served, pause as f64);
         if matches!(room, Room::Opens { .. } | Room::Closed) {
@@ -31,16 +31,16 @@
             self.targets.watch_groups(now);
             room = self.targets.begins(now, &served, pause as f64);
         }
-        let turn = self.starts.entry(served).or_default().ask(now, &ask, room);
+        let turn = self.starts.entry(served).or_default().request(now, &ask, room);
         match turn {
-            Turn::Now => false,
-            Turn::Wait(turn) => {
+            StartDecision::Now => false,
+            StartDecision::Wait(turn) => {
                 let Some(open) = self.open.get(&id) else { return true };
                 slog::info!(self.log, "waits to begin"; "id" => &open.run.label, "turn" => turn,
                     "room" => ?room, "resumed" => resumed);
                 true
             }
-            Turn::Refuse(turn) => {
+            StartDecision::Refuse(turn) => {
                 self.refuse_until(cx, id, turn, room);
                 true
             }
