--- a/crates/sablepass-core/tests/restored.rs
+++ b/crates/sablepass-core/tests/restored.rs
@@ -18,7 +18,7 @@
 const SEEDS: u64 = 3_000;
 const KEY: &str = "p/a";
 /// Size limit of a delta in bytes.
-const DELTA: usize = 200;
+const DELTA_BYTES: usize = 200;
 
 /// The part of the rule that is left out of messages or of the comparison of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -173,8 +173,8 @@
 
     /// The deltas with which one process answers another's pull.
     fn pull(&mut self, from: usize, to: usize) -> Vec<Delta> {
-        let began = self.processes[from].store.first_read();
-        self.processes[to].store.observe_first_read(began);
+        let first_read = self.processes[from].store.first_read();
+        self.processes[to].store.observe_first_read(first_read);
         let mut digest: Digest = self.processes[from].store.digest();
         if self.mutation == Mutation::Digest {
             digest.revision = without_era(digest.revision);
@@ -186,7 +186,7 @@
         if self.mutation == Mutation::Pull {
             pull = Pull { after: without_era(pull.after), ..pull };
         }
-        let mut deltas = self.processes[from].store.deltas(&pull, DELTA);
+        let mut deltas = self.processes[from].store.deltas(&pull, DELTA_BYTES);
         if self.mutation == Mutation::Delta {
             deltas = deltas.into_iter().map(delta_without_era).collect();
         }
@@ -221,11 +221,11 @@
             return;
         }
         let sender = &self.processes[from].store;
-        let began = sender.first_read();
+        let first_read = sender.first_read();
         let removals: Vec<(String, Revision)> =
             sender.removals().map(|(key, at)| (key.to_owned(), at)).collect();
         for to in &mut self.processes {
-            to.store.observe_first_read(began);
+            to.store.observe_first_read(first_read);
             for (key, at) in &removals {
                 to.store.take_removal(key, *at);
             }
@@ -303,24 +303,24 @@
     Ok(())
 }
 
-fn failures(mutation: Mutation) -> Vec<String> {
+fn collect_failures(mutation: Mutation) -> Vec<String> {
     (0..SEEDS).filter_map(|seed| run(seed, mutation).err()).collect()
 }
 
 /// A restored service lists earlier versions, at revision numbers that were assigned to others.
 #[test]
 fn verify_versions_never_decrease_and_all_processes_reach_the_newest() {
-    let wrong = failures(Mutation::None);
-    assert!(wrong.is_empty(), "{} of {SEEDS}, the first: {}", wrong.len(), wrong[0]);
+    let failures = collect_failures(Mutation::None);
+    assert!(failures.is_empty(), "{} of {SEEDS}, the first: {}", failures.len(), failures[0]);
 }
 
 /// Without any one part of the rule some seed fails.
 #[test]
 fn verify_each_part_of_the_rule_is_needed() {
     for mutation in MUTATIONS {
-        let wrong = failures(mutation);
-        assert!(!wrong.is_empty(), "{mutation:?} is not detected");
-        println!("{mutation:?}: {} of {SEEDS}, the first: {}", wrong.len(), wrong[0]);
+        let failures = collect_failures(mutation);
+        assert!(!failures.is_empty(), "{mutation:?} is not detected");
+        println!("{mutation:?}: {} of {SEEDS}, the first: {}", failures.len(), failures[0]);
     }
 }
 
@@ -383,8 +383,8 @@
 
 #[test]
 fn verify_all_processes_converge_to_the_live_instances() {
-    let wrong: Vec<String> = (0..SEEDS).filter_map(|seed| run_list(seed).err()).collect();
-    assert!(wrong.is_empty(), "{} of {SEEDS}, the first: {}", wrong.len(), wrong[0]);
+    let failures: Vec<String> = (0..SEEDS).filter_map(|seed| run_list(seed).err()).collect();
+    assert!(failures.is_empty(), "{} of {SEEDS}, the first: {}", failures.len(), failures[0]);
 }
 
 /// A fleet whose processes have the list of some instances.
@@ -467,9 +467,9 @@
 
 #[test]
 fn verify_processes_that_missed_a_removal_receive_it() {
-    let wrong: Vec<u64> =
+    let failures: Vec<u64> =
         (0..SEEDS).filter(|seed| count_listing_removed(*seed, Mutation::None) > 0).collect();
-    assert!(wrong.is_empty(), "{} of {SEEDS}, the first: {:?}", wrong.len(), wrong.first());
+    assert!(failures.is_empty(), "{} of {SEEDS}, the first: {:?}", failures.len(), failures.first());
     let unsent = (0..SEEDS).filter(|it| count_listing_removed(*it, Mutation::Removals) > 0).count();
     assert!(unsent > 0, "the exchange of removals is not needed");
     println!("without the exchange of removals: {unsent} of {SEEDS}");
--- a/crates/sablepass-core/tests/telling.rs
+++ b/crates/sablepass-core/tests/telling.rs
@@ -22,11 +22,11 @@
 const READERS: usize = 3;
 const PEERS: usize = 9;
 /// Bytes of a target's line: typical address, hall, service and state.
-const LINE: usize = 180;
+const LINE_BYTES: usize = 180;
 /// Bytes that a peer may receive for a complete read without any change.
-const CHECK: usize = 2 * 1_024;
+const CHECK_BYTES: usize = 2 * 1_024;
 /// Lower bound on the number of parts of the list; the lines of a part are sent together.
-const PARTS: usize = 100;
+const MIN_PARTS: usize = 100;
 
 struct Platform {
     revision: u64,
@@ -56,7 +56,7 @@
     fn rewrite_all(&mut self) {
         let keys: Vec<String> = self.lines.keys().cloned().collect();
         for key in keys {
-            let body = format!("{key:<LINE$}");
+            let body = format!("{key:<LINE_BYTES$}");
             self.write(&key, Some(body));
         }
     }
@@ -164,7 +164,7 @@
 }
 
 fn list(targets: usize) -> usize {
-    targets * (LINE + 10)
+    targets * (LINE_BYTES + 10)
 }
 
 #[test]
@@ -172,7 +172,7 @@
     for targets in SIZES {
         let mut platform = Platform::open(targets);
         let received = settled(&mut platform).max_received();
-        let max = list(targets) + READERS * CHECK;
+        let max = list(targets) + READERS * CHECK_BYTES;
         assert!(received <= max, "{targets} targets: {received} bytes, {max} are allowed");
     }
 }
@@ -191,7 +191,7 @@
             fleet.watch(&platform);
             fleet.exchange();
             let received = fleet.max_received();
-            assert!(received <= 2 * CHECK, "{targets} targets, round {round}: {received} bytes");
+            assert!(received <= 2 * CHECK_BYTES, "{targets} targets, round {round}: {received} bytes");
             fleet.check_converged(&platform);
         }
     }
@@ -234,8 +234,8 @@
         fleet.check_converged(&platform);
         let received = fleet.max_received();
         // The removal and the return, each with the other lines of its part.
-        let lines = 2 * expired * (targets / PARTS + 2);
-        let max = lines * (LINE + 10) + 4 * CHECK;
+        let lines = 2 * expired * (targets / MIN_PARTS + 2);
+        let max = lines * (LINE_BYTES + 10) + 4 * CHECK_BYTES;
         assert!(received <= max, "{targets} targets: {received} bytes, {max} are allowed");
     }
 }
@@ -248,7 +248,7 @@
         settled(&mut platform);
         platform.rewrite_all();
         let received = settled(&mut platform).max_received();
-        let max = list(targets) + READERS * CHECK;
+        let max = list(targets) + READERS * CHECK_BYTES;
         assert!(received <= max, "{targets} targets: {received} bytes, {max} are allowed");
     }
 }
