--- a/crates/sablepass-core/src/catalogue.rs
+++ b/crates/sablepass-core/src/catalogue.rs
@@ -82,10 +82,14 @@
         let partner = declaration::partner(key)?.to_owned();
         let qualify = |name: &str| format!("{partner}/{name}");
         for target in &declared.target {
-            self.check_unused(key, "target", &qualify(&target.name), |c, n| declared_in(&c.targets, n))?;
+            self.check_unused(key, "target", &qualify(&target.name), |c, n| {
+                declared_in(&c.targets, n)
+            })?;
         }
         for group in &declared.group {
-            self.check_unused(key, "group", &qualify(&group.name), |c, n| declared_in(&c.groups, n))?;
+            self.check_unused(key, "group", &qualify(&group.name), |c, n| {
+                declared_in(&c.groups, n)
+            })?;
         }
         for customer in &declared.customer {
             self.check_unused(key, "customer", &qualify(&customer.name), |c, n| {
@@ -105,21 +109,25 @@
                 return Err(conflict(key, "service", &service.name, "another document"));
             }
         }
-        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
+        let own =
+            |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         for target in declared.target {
             self.targets.insert(qualify(&target.name), own(target));
         }
-        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
+        let own =
+            |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         for group in declared.group {
             self.groups.insert(qualify(&group.name), own(group));
         }
-        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
+        let own =
+            |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         for customer in declared.customer {
             let name = qualify(&customer.name);
             self.keys.extend(customer.all_keys().map(|it| (it.clone(), name.clone())));
             self.customers.insert(qualify(&customer.name), own(customer));
         }
-        let own = |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
+        let own =
+            |resource| Declared { partner: partner.clone(), document: key.to_owned(), resource };
         self.grants.extend(declared.grant.into_iter().map(own));
         for stop in declared.stop {
             self.stops.insert(qualify(&stop.target), stop.at);
@@ -183,10 +191,5 @@
 }
 
 fn conflict(key: &str, kind: &'static str, name: &str, document: &str) -> Error {
-    Error::Clash {
-        key: key.to_owned(),
-        kind,
-        name: name.to_owned(),
-        document: document.to_owned(),
-    }
+    Error::Clash { key: key.to_owned(), kind, name: name.to_owned(), document: document.to_owned() }
 }
--- a/crates/sablepass-core/src/config/list.rs
+++ b/crates/sablepass-core/src/config/list.rs
@@ -7,7 +7,7 @@
 
 use crate::config::documents::Rejected;
 use crate::config::parts::Mask;
-use crate::config::{Delta, Document, Store, Version, StoreKind, Coverage};
+use crate::config::{Coverage, Delta, Document, Store, StoreKind, Version};
 use crate::reason::Ignored;
 use crate::revision::Revision;
 
--- a/crates/sablepass-core/src/declaration.rs
+++ b/crates/sablepass-core/src/declaration.rs
@@ -533,8 +533,8 @@
         }
         let fits = u64::from(group.ranks) * u64::from(group.slots) >= u64::from(group.experts);
         self.range("group", name, "slots", group.slots, fits, "enough for every expert")?;
-        let fits = !group.members.is_empty()
-            && (group.ranks as usize).is_multiple_of(group.members.len());
+        let fits =
+            !group.members.is_empty() && (group.ranks as usize).is_multiple_of(group.members.len());
         self.range("group", name, "members", group.members.len(), fits, "a divisor of ranks")?;
         for (field, value) in
             [("skew_weight", group.skew_weight), ("move_weight", group.move_weight)]
--- a/crates/sablepass-core/src/starts.rs
+++ b/crates/sablepass-core/src/starts.rs
@@ -148,7 +148,9 @@
             Room::Opens { within, places, sure } => {
                 self.decide_before_ready(now, stream, within, places, sure)
             }
-            Room::Open { .. } if self.ahead(now, stream) == 0 && self.can_start(now, stream, room) => {
+            Room::Open { .. }
+                if self.ahead(now, stream) == 0 && self.can_start(now, stream, room) =>
+            {
                 StartDecision::Now
             }
             Room::Open { places, load, reads } => {
@@ -185,10 +187,19 @@
 
     /// Decides on a late stream. While there are places it waits only for prompts to be read;
     /// otherwise it waits only if streams end faster than new ones arrive.
-    fn decide_late(&self, now: Millis, stream: &StartRequest, excess: f64, load: f64, reads: f64) -> StartDecision {
+    fn decide_late(
+        &self,
+        now: Millis,
+        stream: &StartRequest,
+        excess: f64,
+        load: f64,
+        reads: f64,
+    ) -> StartDecision {
         let ahead = self.ahead(now, stream) as f64;
         if excess + ahead < 0.0 {
-            return StartDecision::Wait(((ahead + 1.0) * self.first_event_ms / reads.max(1.0)) as Millis);
+            return StartDecision::Wait(
+                ((ahead + 1.0) * self.first_event_ms / reads.max(1.0)) as Millis,
+            );
         }
         let ends_needed = self.ends_needed(now, stream, excess);
         let freed = load / self.duration_ms - self.arrivals / ARRIVAL_WINDOW_MS;
@@ -270,7 +281,8 @@
     /// Whether a stream's first event misses its objective even if it starts now.
     fn is_late(&self, now: Millis, stream: &StartRequest) -> bool {
         let waited = now.saturating_sub(stream.arrived) as f64;
-        stream.resumed || waited + self.first_event_ms * FIRST_EVENT_FACTOR > stream.objective as f64
+        stream.resumed
+            || waited + self.first_event_ms * FIRST_EVENT_FACTOR > stream.objective as f64
     }
 
     /// Number of waiting streams that go before this one: those in time before late ones.
--- a/crates/sablepass-core/tests/catalogue.rs
+++ b/crates/sablepass-core/tests/catalogue.rs
@@ -4,7 +4,7 @@
 //! Conflicts between declarations of different documents.
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, StoreKind};
+use sablepass_core::config::{Delta, Document, Store, StoreKind, Version};
 use sablepass_core::declaration::{self, Error};
 
 fn target(name: &str, capacity: u32) -> String {
--- a/crates/sablepass-core/tests/config.rs
+++ b/crates/sablepass-core/tests/config.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Compare, Delta, Document, Pull, Store, Version, StoreKind};
+use sablepass_core::config::{Compare, Delta, Document, Pull, Store, StoreKind, Version};
 use sablepass_core::duty;
 use sablepass_core::reason::Ignored;
 use sablepass_core::revision::Revision;
--- a/crates/sablepass-core/tests/listing.rs
+++ b/crates/sablepass-core/tests/listing.rs
@@ -14,7 +14,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sablepass_core::config::{Compare, Delta, Document, Store, Version, StoreKind, Coverage};
+use sablepass_core::config::{Compare, Coverage, Delta, Document, Store, StoreKind, Version};
 use sablepass_core::revision::Revision;
 
 const KEYS: usize = 4;
@@ -91,7 +91,8 @@
 fn run(seed: u64, whole: f64) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let platform = Platform::draw(&mut rng);
-    let mut stores: Vec<Store> = (0..PROCESSES).map(|_| Store::open(StoreKind::Instances)).collect();
+    let mut stores: Vec<Store> =
+        (0..PROCESSES).map(|_| Store::open(StoreKind::Instances)).collect();
     let mut now = 0;
     while now < CHANGES {
         now = (now + rng.random_range(0..4)).min(CHANGES);
--- a/crates/sablepass-core/tests/outage.rs
+++ b/crates/sablepass-core/tests/outage.rs
@@ -12,7 +12,11 @@
 fn healthy(until: u64) -> Outages {
     let mut outages = Outages::open(MAX_IDLE);
     (1_000..=until).step_by(1_900).for_each(|at| outages.answered(at));
-    assert_eq!(outages.recovered_at(), 0, "neither a service that answers nor the first call is an outage");
+    assert_eq!(
+        outages.recovered_at(),
+        0,
+        "neither a service that answers nor the first call is an outage"
+    );
     outages
 }
 
@@ -33,7 +37,11 @@
     outages.answered(12_000);
     assert_eq!(outages.recovered_at(), 12_000);
     outages.answered(12_400);
-    assert_eq!(outages.recovered_at(), 12_000, "a later answer does not move the end of the outage");
+    assert_eq!(
+        outages.recovered_at(),
+        12_000,
+        "a later answer does not move the end of the outage"
+    );
 }
 
 /// A process that makes no calls itself receives only reports of answers.
--- a/crates/sablepass-core/tests/restored.rs
+++ b/crates/sablepass-core/tests/restored.rs
@@ -9,7 +9,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::config::verdict::Check;
-use sablepass_core::config::{Compare, Delta, Digest, Document, Pull, Store, Version, StoreKind, Coverage};
+use sablepass_core::config::{
+    Compare, Coverage, Delta, Digest, Document, Pull, Store, StoreKind, Version,
+};
 use sablepass_core::declaration::{self, Declarations};
 use sablepass_core::revision::Revision;
 
@@ -469,7 +471,12 @@
 fn verify_processes_that_missed_a_removal_receive_it() {
     let failures: Vec<u64> =
         (0..SEEDS).filter(|seed| count_listing_removed(*seed, Mutation::None) > 0).collect();
-    assert!(failures.is_empty(), "{} of {SEEDS}, the first: {:?}", failures.len(), failures.first());
+    assert!(
+        failures.is_empty(),
+        "{} of {SEEDS}, the first: {:?}",
+        failures.len(),
+        failures.first()
+    );
     let unsent = (0..SEEDS).filter(|it| count_listing_removed(*it, Mutation::Removals) > 0).count();
     assert!(unsent > 0, "the exchange of removals is not needed");
     println!("without the exchange of removals: {unsent} of {SEEDS}");
--- a/crates/sablepass-core/tests/starts.rs
+++ b/crates/sablepass-core/tests/starts.rs
@@ -75,7 +75,8 @@
     let interrupted = StartRequest { resumed: true, ..stream(99, 650) };
     assert!(matches!(starts.request(650, &interrupted, opening), StartDecision::Wait(_)));
     // Streams beyond the places that there will be are refused and do not wait.
-    let turns: Vec<StartDecision> = (90..98).map(|id| starts.request(660, &stream(id, 660), opening)).collect();
+    let turns: Vec<StartDecision> =
+        (90..98).map(|id| starts.request(660, &stream(id, 660), opening)).collect();
     assert!(matches!(turns[7], StartDecision::Refuse(Some(601..))), "{turns:?}");
     assert_eq!(starts.next(699, opening), None, "no stream starts before the group is ready");
     // The group is ready. Streams in time start first, whenever they arrived, and late ones after
@@ -90,7 +91,11 @@
     assert!(started[in_time..].iter().all(|it| *it < 15 || *it == 99), "{started:?}");
     assert!((10..19).contains(&started.len()), "late streams leave places free: {started:?}");
     let load = started.len() as f64;
-    assert_eq!(starts.request(710, &stream(201, 710), open(load)), StartDecision::Now, "streams in time go first");
+    assert_eq!(
+        starts.request(710, &stream(201, 710), open(load)),
+        StartDecision::Now,
+        "streams in time go first"
+    );
 }
 
 #[test]
@@ -98,10 +103,15 @@
     let mut starts = StartQueue::default();
     let room = Room::Open { places: 100.0, load: 20.0, reads: 4.0 };
     let interrupted = |id| StartRequest { resumed: true, ..stream(id, 0) };
-    let turns: Vec<StartDecision> = (0..8).map(|id| starts.request(0, &interrupted(id), room)).collect();
+    let turns: Vec<StartDecision> =
+        (0..8).map(|id| starts.request(0, &interrupted(id), room)).collect();
     assert_eq!(turns[..4], [StartDecision::Now; 4]);
     assert!(turns[4..].iter().all(|it| matches!(it, StartDecision::Wait(1..=200))), "{turns:?}");
-    assert_eq!(starts.request(10, &stream(50, 10), room), StartDecision::Now, "a stream in time does not wait");
+    assert_eq!(
+        starts.request(10, &stream(50, 10), room),
+        StartDecision::Now,
+        "a stream in time does not wait"
+    );
     assert_eq!(starts.next(100, room), None, "five prompts are being read");
     assert_eq!(starts.next(205, room), Some(RequestId(4)));
     assert_eq!(starts.next(205, room), Some(RequestId(5)));
@@ -115,7 +125,11 @@
     let late = Room::Opens { within: 1_800, places: 20.0, sure: true };
     assert_eq!(starts.request(0, &stream(2, 0), late), StartDecision::Refuse(Some(1_800)));
     let uncertain = Room::Opens { within: 1_800, places: 20.0, sure: false };
-    assert_eq!(starts.request(0, &stream(2, 0), uncertain), StartDecision::Refuse(None), "the time is unknown");
+    assert_eq!(
+        starts.request(0, &stream(2, 0), uncertain),
+        StartDecision::Refuse(None),
+        "the time is unknown"
+    );
     // A waiting stream is refused when the group is lost again.
     let opening = Room::Opens { within: 600, places: 20.0, sure: true };
     assert_eq!(starts.request(0, &stream(3, 0), opening), StartDecision::Wait(600));
--- a/crates/sablepass-core/tests/telling.rs
+++ b/crates/sablepass-core/tests/telling.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use sablepass_core::config::{Compare, Delta, Document, Store, Version, StoreKind, Coverage};
+use sablepass_core::config::{Compare, Coverage, Delta, Document, Store, StoreKind, Version};
 use sablepass_core::revision::Revision;
 
 /// Numbers of targets in the list.
@@ -191,7 +191,10 @@
             fleet.watch(&platform);
             fleet.exchange();
             let received = fleet.max_received();
-            assert!(received <= 2 * CHECK_BYTES, "{targets} targets, round {round}: {received} bytes");
+            assert!(
+                received <= 2 * CHECK_BYTES,
+                "{targets} targets, round {round}: {received} bytes"
+            );
             fleet.check_converged(&platform);
         }
     }
--- a/crates/sablepass-ctl/src/check.rs
+++ b/crates/sablepass-ctl/src/check.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, StoreKind};
+use sablepass_core::config::{Delta, Document, Store, StoreKind, Version};
 use sablepass_core::declaration;
 use sablepass_core::revision::Revision;
 use snafu::{ResultExt, Snafu};
--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use http::header::HeaderMap;
-use sablepass_core::config::{Delta, Document, Version, StoreKind, Coverage};
+use sablepass_core::config::{Coverage, Delta, Document, StoreKind, Version};
 use sablepass_core::revision::Revision;
 use sablepass_platform::{self as platform, config, replica, store};
 use serde::Deserialize;
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -559,7 +559,10 @@
     /// listed targets need next to nothing of a configuration that may be large
     /// and change often; entries tell them that.
     fn is_held(&self, what: StoreKind) -> bool {
-        !matches!((self.node.form, self.role, what), (Form::Keys, Role::Agent, StoreKind::Declarations))
+        !matches!(
+            (self.node.form, self.role, what),
+            (Form::Keys, Role::Agent, StoreKind::Declarations)
+        )
     }
 
     fn on_duty(&self, now: Millis, what: StoreKind) -> bool {
--- a/crates/sablepass-edge/src/spread/report.rs
+++ b/crates/sablepass-edge/src/spread/report.rs
@@ -17,7 +17,9 @@
     pub(super) fn report_rejected(&mut self, what: StoreKind) {
         let (text, reason) = match what {
             StoreKind::Declarations => ("older version not taken", Ignored::OlderVersion),
-            StoreKind::Instances => ("line of an instance that left not taken", Ignored::FormerLine),
+            StoreKind::Instances => {
+                ("line of an instance that left not taken", Ignored::FormerLine)
+            }
         };
         for it in self.source(what).store.take_rejected() {
             if self.is_reported(what, &it.key, it.revision) {
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -85,7 +85,9 @@
             .targets
             .values()
             .filter(|it| it.resource.kind == Kind::Model)
-            .filter(|it| catalogue.granted(&customer.partner, &it.partner, &it.resource.serves) > 0.0)
+            .filter(|it| {
+                catalogue.granted(&customer.partner, &it.partner, &it.resource.serves) > 0.0
+            })
             .map(|it| format!("{}/{}", it.partner, it.resource.serves))
             .collect();
         names.sort();
@@ -254,7 +256,13 @@
         let (customer, partner, streams, share, told) = match &known {
             Some((name, it)) => {
                 let share = share(catalogue, it);
-                (name.as_str(), it.partner.as_str(), it.resource.streams, share, Some(&it.resource.name))
+                (
+                    name.as_str(),
+                    it.partner.as_str(),
+                    it.resource.streams,
+                    share,
+                    Some(&it.resource.name),
+                )
             }
             None => ("", "", KEYLESS_STREAMS, 1.0, None),
         };
--- a/crates/sablepass-load/src/capacity.rs
+++ b/crates/sablepass-load/src/capacity.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, StoreKind};
+use sablepass_core::config::{Delta, Document, Store, StoreKind, Version};
 use sablepass_core::expert::drift::{self, Estimate};
 use sablepass_core::expert::map::{Map, Shape};
 use sablepass_core::expert::plan;
--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use sablepass_core::config::parts::{Mask, Parts};
-use sablepass_core::config::{self, StoreKind, Coverage};
+use sablepass_core::config::{self, Coverage, StoreKind};
 use sablepass_core::expert::map::Bounds;
 use sablepass_core::flight::{Event, Head, Verdict};
 use sablepass_core::id::{AttemptId, Incarnation, RequestId};
@@ -258,7 +258,9 @@
     let whole = match (it.whole, parts) {
         (false, None) => None,
         (true, None) => Some(Coverage::All(Revision::new(it.since_era, it.since))),
-        (false, Some(mask)) if what == StoreKind::Instances => Some(Coverage::Parts(mask, it.asked)),
+        (false, Some(mask)) if what == StoreKind::Instances => {
+            Some(Coverage::Parts(mask, it.asked))
+        }
         // Declarations are not compared: what is not among some would count as gone.
         (_, Some(_)) => return Err(Error::Field { message: "delta", field: "whole" }),
     };
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::QuickCheck;
 use sablepass_core::config::parts::{Mask, Parts};
-use sablepass_core::config::{Delta, Document, Pull, Version, StoreKind, Coverage};
+use sablepass_core::config::{Coverage, Delta, Document, Pull, StoreKind, Version};
 use sablepass_core::expert::demand;
 use sablepass_core::flight::{Event, Verdict};
 use sablepass_core::id::{AttemptId, Life, RequestId};
