--- a/crates/sablepass-core/tests/catalogue.rs
+++ b/crates/sablepass-core/tests/catalogue.rs
@@ -1,10 +1,10 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What is in force when declarations clash.
+//! Conflicts between declarations of different documents.
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, What};
+use sablepass_core::config::{Delta, Document, Store, StoreKind, Version};
 use sablepass_core::declaration::{self, Error};
 
 fn target(name: &str, capacity: u32) -> String {
@@ -15,9 +15,9 @@
     format!("[[customer]]\nname = {name:?}\nkey = {key:?}\nshare = 1\n")
 }
 
-/// Documents published one after the other.
+/// Builds the catalogue of documents that were published one after the other.
 fn publish(all: &[(&str, String)]) -> Catalogue {
-    let mut store = Store::open(What::Declarations);
+    let mut store = Store::open(StoreKind::Declarations);
     for (index, (key, body)) in all.iter().enumerate() {
         let revision = (index as u64 + 1).into();
         let newest = Version { revision, body: body.clone() };
@@ -34,16 +34,16 @@
 }
 
 #[test]
-fn verify_newcomer_does_not_push_out_what_is_in_force() {
-    // The later document's key sorts first; it is refused all the same.
+fn verify_a_later_document_does_not_displace_declarations_in_force() {
+    // The later document's key sorts first; it is refused nevertheless.
     let catalogue = publish(&[("p/b", target("t", 7)), ("p/a", target("t", 9))]);
-    assert_eq!(catalogue.targets["p/t"].it.capacity, 7);
+    assert_eq!(catalogue.targets["p/t"].resource.capacity, 7);
     assert!(matches!(catalogue.refused["p/a"], Error::Clash { .. }));
     assert!(!catalogue.refused.contains_key("p/b"));
 }
 
 #[test]
-fn verify_partners_cannot_meet() {
+fn verify_documents_of_different_partners_do_not_conflict() {
     let both =
         [("q/a", customer("c", "q:same-key-text")), ("p/a", customer("c", "p:same-key-text"))];
     let catalogue = publish(&both);
--- a/crates/sablepass-ctl/src/check.rs
+++ b/crates/sablepass-ctl/src/check.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::config::{Delta, Document, Store, Version, What};
+use sablepass_core::config::{Delta, Document, Store, StoreKind, Version};
 use sablepass_core::declaration;
 use sablepass_core::revision::Revision;
 use snafu::{ResultExt, Snafu};
@@ -44,7 +44,7 @@
         });
     }
     let keys: Vec<String> = documents.iter().map(|it| it.key.clone()).collect();
-    let mut store = Store::open(What::Declarations);
+    let mut store = Store::open(StoreKind::Declarations);
     let revision = (files.len() as u64).into();
     let delta = Delta { after: Revision::default(), revision, documents, whole: None };
     store.merge(delta).map_err(|_| Error::Store)?;
@@ -67,9 +67,9 @@
 }
 
 fn summary(catalogue: &Catalogue, key: &str) -> String {
-    let targets = catalogue.targets.values().filter(|it| it.holder == key).count();
-    let groups = catalogue.groups.values().filter(|it| it.holder == key).count();
-    let customers = catalogue.customers.values().filter(|it| it.holder == key).count();
-    let grants = catalogue.grants.iter().filter(|it| it.holder == key).count();
+    let targets = catalogue.targets.values().filter(|it| it.document == key).count();
+    let groups = catalogue.groups.values().filter(|it| it.document == key).count();
+    let customers = catalogue.customers.values().filter(|it| it.document == key).count();
+    let grants = catalogue.grants.iter().filter(|it| it.document == key).count();
     format!("targets {targets}, groups {groups}, customers {customers}, grants {grants}")
 }
--- a/crates/sablepass-edge/src/spread/removals.rs
+++ b/crates/sablepass-edge/src/spread/removals.rs
@@ -6,8 +6,8 @@
 
 use std::collections::BTreeMap;
 
-use sablepass_core::config::What;
-use sablepass_core::config::list::Taken;
+use sablepass_core::config::StoreKind;
+use sablepass_core::config::list::RemovalOutcome;
 use sablepass_core::reason::Ignored;
 use sablepass_core::revision::Revision;
 use sablepass_wire::removals::Removal;
@@ -16,15 +16,15 @@
 
 impl Spread {
     /// Takes what a peer tells of removals. Returns what changed.
-    pub fn take_removals(&mut self, told: &[Removal<'_>]) -> Option<What> {
+    pub fn take_removals(&mut self, told: &[Removal<'_>]) -> Option<StoreKind> {
         let mut changed = false;
         for &(key, at) in told {
             let taken = self.list.store.take_removal(key, at);
-            if taken == Taken::Known {
+            if taken == RemovalOutcome::Known {
                 continue;
             }
             self.untold.insert(key.to_owned(), at);
-            if taken == Taken::Listed {
+            if taken == RemovalOutcome::Listed {
                 slog::warn!(self.log, "instance listed that left before"; "key" => key,
                     "era" => at.era, "revision" => at.number);
                 self.metrics.ignored(Ignored::FormerLine);
@@ -32,8 +32,8 @@
             }
         }
         changed.then(|| {
-            self.note(What::Instances);
-            What::Instances
+            self.note(StoreKind::Instances);
+            StoreKind::Instances
         })
     }
 
