--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -1,38 +1,38 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! One request's life at an entry, from admission to its final answer.
+//! State machine of one request at an entry, from admission to its final answer.
 //!
-//! The state machine takes what happened and says what to do. It is the only
-//! place that decides whether a request may be sent again and what the
-//! caller is told of it:
+//! The entry feeds it [`Event`]s and carries out the [`Action`]s that it returns. All decisions
+//! on retries, and on which outcome is reported to the caller, are made here:
 //!
-//! - A request that must not repeat is sent once. It may be sent again only
-//!   after an agent has proved that the earlier attempt did not run.
-//! - Lost contact with such a request ends in a probe of the same agent.
-//! - A safe request is sent elsewhere as long as nothing of an answer was
-//!   delivered, the deadline has not passed and the retry budget lasts.
-//! - A stream that may be resumed is taken up elsewhere after the last whole
-//!   event that was delivered.
+//! - An unsafe request, which must run at most once, is sent to one target. It is retried only
+//!   if an agent has proved that the earlier attempt did not run.
+//! - When contact is lost during an attempt of an unsafe request, the same agent is probed for
+//!   the state of the attempt once it is connected again.
+//! - A safe request is retried at another target as long as no part of an answer was delivered
+//!   to the caller, its deadline has not passed and the retry budget is not used up.
+//! - A resumable stream continues at another target after the last complete event that was
+//!   delivered to the caller.
 
 use crate::events::Splitter;
 use crate::id::{AttemptId, Incarnation, Millis, RequestId};
 use crate::outcome::{Failure, Ran};
 use crate::reason::{Ignored, Refusal, Retry};
 
-/// Time without a part of an answer after which its target counts as silent: two
-/// passes of the longest that callers are promised on the users' platform.
-const SILENT: Millis = 400;
+/// Time without a part of the answer after which an attempt counts as silent: twice the longest
+/// forward pass that callers are promised.
+const SILENCE_THRESHOLD: Millis = 400;
 
 /// Limits of a [`Flight`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bytes of an answer kept until it is whole. Default 4 MiB.
+    /// Maximum size in bytes of an answer that is buffered until it is complete. Default 4 MiB.
     pub answer: usize,
-    /// How long a probe may stay without an answer. Default 5 s.
+    /// Time after which a probe without an answer fails the request. Default 5 s.
     pub probe: Millis,
-    /// How long a target may give no sign of life before a safe request is
-    /// sent elsewhere. Default 10 s.
+    /// Time without any message from a target's agent after which a safe request is retried at
+    /// another target. Default 10 s.
     pub stall: Millis,
 }
 
@@ -42,110 +42,110 @@
     }
 }
 
-/// What is fixed when the request is admitted.
+/// Properties of a request that are fixed at its admission.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its name.
+    /// Identifies the request in all messages.
     pub id: RequestId,
-    /// When it is no longer wanted.
+    /// Time after which the caller no longer waits for an answer.
     pub deadline: Millis,
-    /// Targets that it may be sent to in all.
+    /// Maximum number of attempts, the first included. Attempts that were not sent don't count.
     pub attempts: u32,
-    /// It must not run more than once.
+    /// Whether the request is unsafe: it must run at most once.
     pub unsafe_repeat: bool,
-    /// It has an idempotency key, so that one target owns it.
+    /// Whether the request has an idempotency key. Only the target that owns the key may run it.
     pub keyed: bool,
-    /// The answer is delivered as it comes, not when it is whole.
+    /// Whether the answer is delivered part by part rather than once it is complete.
     pub stream: bool,
-    /// A broken answer may be taken up by another target after its last event.
+    /// Whether another target may continue an interrupted answer after its last complete event.
     pub resume: bool,
 }
 
-/// A header field of an answer, passed on as it came.
+/// A header field of an answer, forwarded unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its name, in lower case.
+    /// Field name in lower case.
     pub name: String,
-    /// Its value.
+    /// Field value as received.
     pub value: Vec<u8>,
 }
 
-/// How an answer begins.
+/// Status and header fields of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// HTTP status.
     pub status: u32,
-    /// Header fields that the caller gets, without those of one connection.
+    /// Header fields for the caller, without hop-by-hop fields.
     pub fields: Vec<Field>,
-    /// A recorded answer.
+    /// Whether this is the recorded answer of an earlier request with the same idempotency key.
     pub replayed: bool,
 }
 
 impl Head {
-    /// A head with nothing but its content type, as agents send it.
+    /// Returns a head whose only field is `content-type`, as in answers that agents forward.
     pub fn plain(status: u32, content_type: &str, replayed: bool) -> Self {
         let field = Field { name: "content-type".to_owned(), value: content_type.into() };
         Self { status, fields: vec![field], replayed }
     }
 }
 
-/// What happened.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The target began to answer.
+    /// The head of the answer arrived.
     Head(Head),
-    /// Bytes of the answer.
+    /// Bytes of the answer's body arrived.
     Chunk {
-        /// Where they start.
+        /// Position of the first byte in the body.
         offset: u64,
         /// The bytes.
         data: Vec<u8>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// Its length.
+        /// Length of the body in bytes.
         length: u64,
     },
-    /// The agent refused.
+    /// The agent refused the attempt.
     Refused(Refusal),
-    /// The target said that it takes nothing more, before anything of the attempt was sent.
+    /// The target announced that it accepts no requests before any part of the attempt was sent.
     Unsent,
-    /// The target failed.
+    /// The target failed to answer, or its answer was interrupted.
     Failed(Failure),
-    /// A probe was answered.
+    /// The agent answered a probe.
     Verdict(Verdict),
-    /// Contact with the agent was lost.
+    /// The connection to the agent was lost.
     LinkDown,
-    /// Contact with the agent is back.
+    /// The connection to an agent of this incarnation was established.
     LinkUp(Incarnation),
-    /// Time passed.
+    /// Checks the timeouts; sent periodically.
     Tick {
-        /// When the target's agent last gave a sign of life, as far as known.
+        /// Time of the last message from the target's agent, 0 if unknown.
         heard: Millis,
     },
-    /// The target takes so long that it holds up all that others run.
+    /// The target is so slow that it delays all requests of its group.
     TargetCrawls,
-    /// Nothing is heard of the target's machine, nor of the request there.
+    /// The target's machine is unresponsive, and no part of this answer has arrived for a while.
     TargetQuiet,
-    /// Targets are known to end as they run the request.
+    /// The request is blocked as a suspect: several targets terminated while they ran it.
     EndsTargets,
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerGone,
 }
 
-/// An agent's answer to a probe.
+/// State of an attempt, as an agent reports it in answer to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It never ran and never will.
+    /// The attempt did not run, and the agent will refuse it from now on.
     Blocked,
-    /// It runs; its answer follows.
+    /// The attempt is running; its answer follows.
     Running,
-    /// It ended; its answer follows if it was kept.
+    /// The attempt has finished; its answer follows if the agent still has it.
     Finished,
 }
 
 impl Verdict {
-    /// Reads a number from the wire.
+    /// Decodes the number used on the wire. Returns `None` for an unknown number.
     pub fn parse(code: u32) -> Option<Self> {
         match code {
             0 => Some(Self::Blocked),
@@ -156,38 +156,38 @@
     }
 }
 
-/// What to do.
+/// Output of the state machine: what the entry must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Choose a target, not among those tried if possible, and send it there.
+    /// Choose a target, preferably one that was not tried yet, and send it the request.
     Dispatch,
-    /// Ask the same agent what it knows of the attempt.
+    /// Ask the agent of the current attempt for the attempt's state.
     Probe(AttemptId),
-    /// Tell the agent to stop the attempt.
+    /// Ask the agent to cancel the attempt.
     Cancel(AttemptId),
-    /// Begin the caller's answer.
+    /// Send the head of the answer to the caller.
     Head(Head),
-    /// Hand bytes to the caller.
+    /// Send bytes of the body to the caller.
     Deliver(Vec<u8>),
-    /// The caller's answer is whole.
+    /// Complete the caller's answer.
     Finish,
-    /// The caller's answer is this failure.
+    /// Answer the caller with this failure.
     Fail(Failure),
-    /// Count a retry.
+    /// Increment the counter of retries for this reason.
     CountRetry(Retry),
-    /// Count something ignored.
+    /// Increment the counter of ignored messages for this reason.
     CountIgnored(Ignored),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Waits for a target.
+    /// No attempt is in progress; waits for the entry to choose a target.
     Choosing,
-    /// Sent; contact is good.
+    /// An attempt was sent, and its agent is connected.
     Sent,
-    /// Contact was lost; the agent is asked when it is back.
+    /// Contact with the agent was lost. The agent is probed when it is connected again.
     Probing { since: Millis },
-    /// The final answer was given.
+    /// The caller got the final answer or failure.
     Ended,
 }
 
@@ -197,117 +197,124 @@
     incarnation: Incarnation,
 }
 
-/// The state of one request.
+/// State machine of one request.
 #[derive(Clone, Debug)]
 pub struct Flight {
     options: Options,
     request: Request,
     state: State,
     attempt: u32,
-    /// Attempts of which nothing was sent.
-    unsent: u32,
+    /// Number of attempts of which no part was sent.
+    unsent_attempts: u32,
     sent: Option<Sent>,
     head: Option<Head>,
+    /// Bytes of the current attempt's answer received so far, without gaps.
     received: u64,
+    /// Buffered body of an answer that is not streamed.
     body: Vec<u8>,
-    delivered: bool,
-    /// Cuts the answer into events, if it may be resumed.
-    events: Option<Splitter>,
-    heard: Millis,
+    /// Whether the head of a streamed answer was delivered to the caller.
+    head_delivered: bool,
+    /// Splits the answer into events, if it is resumable.
+    splitter: Option<Splitter>,
+    /// Time of the last message about the current attempt or from its agent.
+    last_heard: Millis,
     tried: Vec<String>,
-    /// What is known of all attempts before this one together.
-    before: Ran,
+    /// Whether any attempt before the current one ran.
+    ran_before: Ran,
 }
 
 impl Flight {
-    /// Opens a flight that waits for a target.
+    /// Returns the initial state, which waits for a target.
     pub fn open(options: Options, request: Request) -> Self {
-        let events = request.resume.then(Splitter::default);
+        let splitter = request.resume.then(Splitter::default);
         Self {
             options,
             request,
             state: State::Choosing,
             attempt: 0,
-            unsent: 0,
+            unsent_attempts: 0,
             sent: None,
             head: None,
             received: 0,
             body: Vec::new(),
-            delivered: false,
-            events,
-            heard: 0,
+            head_delivered: false,
+            splitter,
+            last_heard: 0,
             tried: Vec::new(),
-            before: Ran::NotRun,
+            ran_before: Ran::NotRun,
         }
     }
 
-    /// The request.
+    /// Returns the request's fixed properties.
     pub fn request(&self) -> &Request {
         &self.request
     }
 
-    /// The attempt in progress.
+    /// Returns the id of the latest attempt; its number is 0 before the first one.
     pub fn attempt(&self) -> AttemptId {
         AttemptId { request: self.request.id, number: self.attempt }
     }
 
-    /// The target of the attempt in progress.
+    /// Returns the target of the latest attempt, `None` before the first one.
     pub fn target(&self) -> Option<&str> {
         self.sent.as_ref().map(|it| it.target.as_str())
     }
 
-    /// Targets tried so far.
+    /// Returns the targets that attempts were made at, without duplicates.
     pub fn tried(&self) -> &[String] {
         &self.tried
     }
 
-    /// Id of the last event delivered, after which another target goes on.
+    /// Returns the id of the last complete event, after which another target resumes a stream.
     pub fn last_event(&self) -> Option<&str> {
-        self.events.as_ref().and_then(Splitter::last)
+        self.splitter.as_ref().and_then(Splitter::last)
     }
 
-    /// Whether nothing of the answer has come for longer than a target takes
-    /// between two parts of one.
+    /// Returns whether an attempt is in progress and no part of its answer, nor any other sign
+    /// of its target, was recorded for `SILENCE_THRESHOLD`.
     pub fn is_silent(&self, now: Millis) -> bool {
-        self.state == State::Sent && now >= self.heard + SILENT
+        self.state == State::Sent && now >= self.last_heard + SILENCE_THRESHOLD
     }
 
-    /// Whether the final answer was given.
+    /// Returns whether the caller got its final answer or failure.
     pub fn ended(&self) -> bool {
         self.state == State::Ended
     }
 
-    /// Whether a tick would do anything now.
+    /// Returns whether a timeout has expired, so that an [`Event::Tick`] has an effect. `heard`
+    /// is the time of the last message from the target's agent.
     pub fn due(&self, now: Millis, heard: Millis) -> bool {
         let late = now >= self.request.deadline;
         match self.state {
             State::Probing { since } => late || now >= since + self.options.probe,
-            State::Sent => late || self.stalled(now, heard),
+            State::Sent => late || self.is_stalled(now, heard),
             State::Choosing => late,
             State::Ended => false,
         }
     }
 
-    /// Records that an attempt is sent, and returns its name. To be called
-    /// in answer to [`Action::Dispatch`].
+    /// Starts the next attempt, at `target`, and returns its id. To be called in answer to
+    /// [`Action::Dispatch`].
     pub fn send(&mut self, now: Millis, target: &str, incarnation: Incarnation) -> AttemptId {
-        debug_assert!(self.state == State::Choosing, "a dispatch must be asked for");
+        debug_assert!(self.state == State::Choosing, "send() without a pending Action::Dispatch");
         self.attempt += 1;
         self.sent = Some(Sent { target: target.to_owned(), incarnation });
         self.state = State::Sent;
-        self.reset(now);
+        self.start_attempt(now);
         if !self.tried.iter().any(|it| it == target) {
             self.tried.push(target.to_owned());
         }
         self.attempt()
     }
 
-    /// Records that no target could be chosen.
+    /// Fails the request because no target could be chosen, in answer to [`Action::Dispatch`].
     pub fn refuse(&mut self, reason: Refusal) -> Vec<Action> {
         self.fail(reason, Ran::NotRun)
     }
 
-    /// Takes an event of attempt `number`, or of the whole request if 0.
+    /// Handles an event of attempt `number`, or of the whole request if `number` is 0, and
+    /// returns the resulting actions. `budget` takes one retry from the retry budget and returns
+    /// false if there is none left. Events of earlier attempts are ignored and counted.
     pub fn on(
         &mut self,
         now: Millis,
@@ -326,26 +333,26 @@
             Event::Unsent => self.on_unsent(),
             Event::Failed(failure) => self.on_failed(now, failure, budget),
             Event::Verdict(verdict) => self.on_verdict(now, verdict),
-            Event::LinkDown => self.on_down(now, budget),
-            Event::LinkUp(incarnation) => self.on_up(now, incarnation),
+            Event::LinkDown => self.on_link_down(now, budget),
+            Event::LinkUp(incarnation) => self.on_link_up(now, incarnation),
             Event::Tick { heard } => {
-                self.heard = self.heard.max(heard);
+                self.last_heard = self.last_heard.max(heard);
                 self.on_tick(now, budget)
             }
-            Event::TargetCrawls => self.leave(now, Retry::SlowTarget, budget),
-            Event::TargetQuiet => self.leave(now, Retry::QuietTarget, budget),
+            Event::TargetCrawls => self.switch_target(now, Retry::SlowTarget, budget),
+            Event::TargetQuiet => self.switch_target(now, Retry::QuietTarget, budget),
             Event::EndsTargets => self.on_ends_targets(),
-            Event::CallerGone => self.on_gone(),
+            Event::CallerGone => self.on_caller_gone(),
         }
     }
 
-    fn reset(&mut self, now: Millis) {
-        self.heard = now;
+    fn start_attempt(&mut self, now: Millis) {
+        self.last_heard = now;
         self.head = None;
         self.received = 0;
         self.body.clear();
-        if let Some(events) = &mut self.events {
-            events.restart();
+        if let Some(splitter) = &mut self.splitter {
+            splitter.restart();
         }
     }
 
@@ -355,34 +362,34 @@
         head: Head,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        self.alive(now);
+        self.record_activity(now);
         if self.head.is_some() {
-            // A resumed answer repeats its head.
+            // After a probe the agent sends its answer again from the start.
             return Vec::new();
         }
         let busy = matches!(head.status, 429 | 503);
         if busy && !self.request.unsafe_repeat {
             let failure = Failure { reason: Refusal::EngineBusy, ran: Ran::NotRun };
-            return self.again(now, Retry::EngineBusy, failure, budget);
+            return self.retry_if_safe(now, Retry::EngineBusy, failure, budget);
         }
-        if self.delivered {
-            // The caller keeps the head of the first target.
+        if self.head_delivered {
+            // The caller already got the head of an earlier attempt's answer.
             return self.on_resumed(now, head, budget);
         }
-        if head.status >= 500 && self.may_move(now) && budget() {
-            // The rest of its answer is not waited for.
+        if head.status >= 500 && self.may_run_again(now) && budget() {
+            // The body of the error response is not needed.
             let mut actions = vec![Action::Cancel(self.attempt())];
-            actions.extend(self.move_on(Retry::EngineFailed, Ran::Unknown));
+            actions.extend(self.redispatch(Retry::EngineFailed, Ran::Unknown));
             return actions;
         }
         self.head = Some(head.clone());
         if !self.request.stream {
             return Vec::new();
         }
-        self.delivered = true;
+        self.head_delivered = true;
         if !(200..300).contains(&head.status) {
-            // What follows is not made of events.
-            self.events = None;
+            // The body of an error response is not an event stream.
+            self.splitter = None;
         }
         vec![Action::Head(head)]
     }
@@ -398,7 +405,7 @@
             return Vec::new();
         }
         let failure = Failure { reason: Refusal::EngineBroke, ran: Ran::Ran };
-        self.again(now, Retry::EngineFailed, failure, budget)
+        self.retry_if_safe(now, Retry::EngineFailed, failure, budget)
     }
 
     fn on_chunk(
@@ -408,20 +415,20 @@
         mut data: Vec<u8>,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        self.alive(now);
+        self.record_activity(now);
         let end = offset + data.len() as u64;
         if offset > self.received || self.head.is_none() {
-            return self.gap(now, budget);
+            return self.on_gap(now, budget);
         }
         if end <= self.received {
-            // Bytes that a resumed answer repeats.
+            // Already received: after a probe the agent sends its answer again from the start.
             return Vec::new();
         }
         data.drain(..(self.received - offset) as usize);
         self.received = end;
-        if let Some(events) = &mut self.events {
-            let whole = events.take(&data);
-            return if whole.is_empty() { Vec::new() } else { vec![Action::Deliver(whole)] };
+        if let Some(splitter) = &mut self.splitter {
+            let complete = splitter.take(&data);
+            return if complete.is_empty() { Vec::new() } else { vec![Action::Deliver(complete)] };
         }
         if self.request.stream {
             return vec![Action::Deliver(data)];
@@ -441,9 +448,9 @@
         length: u64,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        let partial = self.events.as_ref().is_some_and(Splitter::is_partial);
+        let partial = self.splitter.as_ref().is_some_and(Splitter::is_partial);
         if length != self.received || self.head.is_none() || partial {
-            return self.gap(now, budget);
+            return self.on_gap(now, budget);
         }
         self.state = State::Ended;
         if self.request.stream {
@@ -456,11 +463,11 @@
         vec![Action::Head(head), Action::Deliver(body), Action::Finish]
     }
 
-    fn gap(&mut self, now: Millis, budget: &mut dyn FnMut() -> bool) -> Vec<Action> {
+    fn on_gap(&mut self, now: Millis, budget: &mut dyn FnMut() -> bool) -> Vec<Action> {
         let cancel = Action::Cancel(self.attempt());
         let failure = Failure { reason: Refusal::AnswerGap, ran: Ran::Ran };
         let mut actions = vec![cancel];
-        actions.extend(self.again(now, Retry::AnswerGap, failure, budget));
+        actions.extend(self.retry_if_safe(now, Retry::AnswerGap, failure, budget));
         actions
     }
 
@@ -472,26 +479,27 @@
     ) -> Vec<Action> {
         let mut ran = reason.ran_by_agent();
         if reason == Refusal::Duplicate {
-            // The attempt was seen before and its first copy is what counts.
+            // A duplicate of the dispatch message was refused; the first copy is still handled.
             return vec![Action::CountIgnored(Ignored::LateAnswer)];
         }
-        if self.delivered {
+        if self.head_delivered {
             ran = Ran::Ran;
         }
         let failure = Failure { reason, ran };
-        // Where the agent proved that this attempt never runs, even a request that
-        // must not repeat may go elsewhere, unless its key has one owner.
+        // If the agent proved that this attempt did not run, even an unsafe request may be
+        // retried at another target, unless it has a key: only the key's owner may run it.
         let may_repeat = ran == Ran::NotRun || !self.request.unsafe_repeat;
         if reason.try_elsewhere() && may_repeat && !self.request.keyed {
-            return self.resend(now, Retry::Refused, failure, budget);
+            return self.retry_within_limits(now, Retry::Refused, failure, budget);
         }
         self.fail(failure.reason, failure.ran)
     }
 
-    /// What was not sent costs its target nothing, and so no attempt and no retry.
+    /// An attempt that was not sent puts no load on its target, so it counts neither against the
+    /// maximum of attempts nor against the retry budget.
     fn on_unsent(&mut self) -> Vec<Action> {
-        self.unsent += 1;
-        self.move_on(Retry::TargetRests, Ran::NotRun)
+        self.unsent_attempts += 1;
+        self.redispatch(Retry::TargetRests, Ran::NotRun)
     }
 
     fn on_failed(
@@ -501,13 +509,13 @@
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
         if failure.ran == Ran::NotRun && !self.request.keyed {
-            return self.resend(now, Retry::EngineFailed, failure, budget);
+            return self.retry_within_limits(now, Retry::EngineFailed, failure, budget);
         }
-        self.again(now, Retry::EngineFailed, failure, budget)
+        self.retry_if_safe(now, Retry::EngineFailed, failure, budget)
     }
 
     fn on_verdict(&mut self, now: Millis, verdict: Verdict) -> Vec<Action> {
-        self.alive(now);
+        self.record_activity(now);
         match verdict {
             Verdict::Blocked if self.head.is_none() => self.fail(Refusal::ContactLost, Ran::NotRun),
             Verdict::Blocked => self.fail(Refusal::AnswerGap, Ran::Ran),
@@ -518,7 +526,7 @@
         }
     }
 
-    fn on_down(&mut self, now: Millis, budget: &mut dyn FnMut() -> bool) -> Vec<Action> {
+    fn on_link_down(&mut self, now: Millis, budget: &mut dyn FnMut() -> bool) -> Vec<Action> {
         if self.state != State::Sent {
             return Vec::new();
         }
@@ -527,10 +535,10 @@
             return Vec::new();
         }
         let failure = Failure { reason: Refusal::ContactLost, ran: Ran::Unknown };
-        self.again(now, Retry::ContactLost, failure, budget)
+        self.retry_if_safe(now, Retry::ContactLost, failure, budget)
     }
 
-    fn on_up(&mut self, now: Millis, incarnation: Incarnation) -> Vec<Action> {
+    fn on_link_up(&mut self, now: Millis, incarnation: Incarnation) -> Vec<Action> {
         let State::Probing { .. } = self.state else {
             return Vec::new();
         };
@@ -550,38 +558,38 @@
             State::Probing { since } if now >= since + self.options.probe => {
                 self.fail(Refusal::ContactLost, Ran::Unknown)
             }
-            State::Sent if self.stalled(now, self.heard) => {
+            State::Sent if self.is_stalled(now, self.last_heard) => {
                 let cancel = Action::Cancel(self.attempt());
                 let failure = Failure { reason: Refusal::ContactLost, ran: Ran::Unknown };
                 let mut actions = vec![cancel];
-                actions.extend(self.again(now, Retry::Stalled, failure, budget));
+                actions.extend(self.retry_if_safe(now, Retry::Stalled, failure, budget));
                 actions
             }
             _ => Vec::new(),
         }
     }
 
-    /// Only a safe request of which nothing was delivered is moved off a
-    /// silent target; any other one waits for its deadline.
-    fn stalled(&self, now: Millis, heard: Millis) -> bool {
-        let movable = !self.request.unsafe_repeat && !self.is_bound();
-        movable && now >= self.heard.max(heard) + self.options.stall
+    /// Returns whether the stall timeout of a request that may be retried has expired. Other
+    /// requests wait until their deadline.
+    fn is_stalled(&self, now: Millis, heard: Millis) -> bool {
+        let retryable = !self.request.unsafe_repeat && !self.is_committed();
+        retryable && now >= self.last_heard.max(heard) + self.options.stall
     }
 
-    /// Moves what can go on elsewhere. Anything else stays where it is: it is
-    /// no failure, only late.
-    fn leave(
+    /// Cancels the current attempt and retries the request at another target, if it may be
+    /// retried. Otherwise the attempt continues: the target is slow but has not failed.
+    fn switch_target(
         &mut self,
         now: Millis,
         retry: Retry,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        if self.state != State::Sent || !self.may_move(now) || !budget() {
+        if self.state != State::Sent || !self.may_run_again(now) || !budget() {
             return Vec::new();
         }
-        let ran = if self.delivered { Ran::Ran } else { Ran::Unknown };
+        let ran = if self.head_delivered { Ran::Ran } else { Ran::Unknown };
         let mut actions = vec![Action::Cancel(self.attempt())];
-        actions.extend(self.move_on(retry, ran));
+        actions.extend(self.redispatch(retry, ran));
         actions
     }
 
@@ -591,102 +599,107 @@
             _ if self.head.is_some() => Ran::Ran,
             _ => Ran::Unknown,
         };
-        let mut actions = self.cancel();
+        let mut actions = self.cancel_sent();
         actions.extend(self.fail(Refusal::DeadlinePassed, ran));
         actions
     }
 
-    /// Gives up an attempt of whose answer nothing came: the target would end as
-    /// it begins. One that answers has not ended.
+    /// Fails a request that is blocked as a suspect, unless a part of its answer has arrived: a
+    /// request that terminates its target does so before the first part.
     fn on_ends_targets(&mut self) -> Vec<Action> {
         let ran = match self.state {
             State::Choosing => Ran::NotRun,
             State::Sent | State::Probing { .. } if self.received == 0 => Ran::Unknown,
             State::Sent | State::Probing { .. } | State::Ended => return Vec::new(),
         };
-        let mut actions = self.cancel();
+        let mut actions = self.cancel_sent();
         actions.extend(self.fail(Refusal::EndsTargets, ran));
         actions
     }
 
-    fn on_gone(&mut self) -> Vec<Action> {
+    fn on_caller_gone(&mut self) -> Vec<Action> {
         let ran = if self.attempt == 0 { Ran::NotRun } else { Ran::Unknown };
-        let mut actions = self.cancel();
+        let mut actions = self.cancel_sent();
         actions.extend(self.fail(Refusal::CallerGone, ran));
         actions
     }
 
-    fn cancel(&self) -> Vec<Action> {
+    fn cancel_sent(&self) -> Vec<Action> {
         match self.state {
             State::Sent => vec![Action::Cancel(self.attempt())],
             State::Choosing | State::Probing { .. } | State::Ended => Vec::new(),
         }
     }
 
-    /// Sends a *safe* request again if nothing of an answer was delivered.
-    fn again(
+    /// Retries a safe request if no part of an answer was delivered that can't be resumed.
+    /// Fails any other request.
+    fn retry_if_safe(
         &mut self,
         now: Millis,
         retry: Retry,
         failure: Failure,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        if self.request.unsafe_repeat || self.is_bound() {
+        if self.request.unsafe_repeat || self.is_committed() {
             return self.fail(failure.reason, failure.ran);
         }
-        self.resend(now, retry, failure, budget)
+        self.retry_within_limits(now, retry, failure, budget)
     }
 
-    /// Sends the request again. The caller has made sure that it may.
-    fn resend(
+    /// Retries the request if its limits and the retry budget allow it, or fails it. To be called
+    /// only if the request is safe or the current attempt is proved not to have run.
+    fn retry_within_limits(
         &mut self,
         now: Millis,
         retry: Retry,
         failure: Failure,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        if !self.has_room(now) {
+        if !self.is_retry_allowed(now) {
             return self.fail(failure.reason, failure.ran);
         }
         if !budget() {
             return self.fail(Refusal::RetryBudget, failure.ran);
         }
-        self.move_on(retry, failure.ran)
+        self.redispatch(retry, failure.ran)
     }
 
-    /// Whether time, attempts and what was delivered leave room for one more attempt.
-    fn has_room(&self, now: Millis) -> bool {
+    /// Returns whether the deadline, the number of attempts and the delivered part of the answer
+    /// allow another attempt.
+    fn is_retry_allowed(&self, now: Millis) -> bool {
         let late = now >= self.request.deadline;
-        !self.is_bound() && !late && self.attempt - self.unsent < self.request.attempts
+        !self.is_committed() && !late && self.attempt - self.unsent_attempts < self.request.attempts
     }
 
-    /// Whether what was delivered binds the answer to its target.
-    fn is_bound(&self) -> bool {
-        self.delivered && self.events.is_none()
+    /// Returns whether part of an answer was delivered that no other target can continue.
+    fn is_committed(&self) -> bool {
+        self.head_delivered && self.splitter.is_none()
     }
 
-    /// Whether an attempt that may have run can be followed by another one.
-    fn may_move(&self, now: Millis) -> bool {
-        !self.request.unsafe_repeat && self.has_room(now)
+    /// Returns whether the request may be retried although the current attempt may have run.
+    fn may_run_again(&self, now: Millis) -> bool {
+        !self.request.unsafe_repeat && self.is_retry_allowed(now)
     }
 
-    /// Leaves the attempt, of which `ran` is known, for another one.
-    fn move_on(&mut self, retry: Retry, ran: Ran) -> Vec<Action> {
-        self.before = self.overall(ran);
+    /// Ends the current attempt and asks for a target for the next one. `ran` says whether the
+    /// current attempt ran.
+    fn redispatch(&mut self, retry: Retry, ran: Ran) -> Vec<Action> {
+        self.ran_before = self.combined_ran(ran);
         self.head = None;
         self.state = State::Choosing;
         vec![Action::CountRetry(retry), Action::Dispatch]
     }
 
     fn fail(&mut self, reason: Refusal, ran: Ran) -> Vec<Action> {
-        let ran = self.overall(ran);
+        let ran = self.combined_ran(ran);
         self.state = State::Ended;
         vec![Action::Fail(Failure { reason, ran })]
     }
 
-    /// Not-run of the whole request takes proof for every attempt.
-    fn overall(&self, last: Ran) -> Ran {
-        match (self.before, last) {
+    /// Combines the results of all attempts, `last` being that of the current one. The request
+    /// counts as not run only if that is proved for every attempt.
+    fn combined_ran(&self, last: Ran) -> Ran {
+        match (self.ran_before, last) {
             (Ran::Ran, _) | (_, Ran::Ran) => Ran::Ran,
             _ if self.head.is_some() => Ran::Ran,
             (Ran::Unknown, _) | (_, Ran::Unknown) => Ran::Unknown,
@@ -694,7 +707,7 @@
         }
     }
 
-    fn alive(&mut self, now: Millis) {
-        self.heard = now;
+    fn record_activity(&mut self, now: Millis) {
+        self.last_heard = now;
     }
 }
