--- a/crates/sablepass-core/src/gate.rs
+++ b/crates/sablepass-core/src/gate.rs
@@ -1,11 +1,11 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The gate of a target: decides whether a dispatch may run.
+//! Decides at a target's agent whether a dispatched attempt may run.
 //!
-//! The agent asks the gate for every dispatch and probe. Whatever the gate
-//! refuses has provably not run here and never will, except where the
-//! reason itself says that an earlier post of the same key may have.
+//! The agent passes every dispatch and every probe to its [`Gate`]. A refused attempt has
+//! provably not run and never will, except where the reason itself says that an earlier request
+//! with the same idempotency key may have run.
 
 use crate::id::{AttemptId, Incarnation, Millis};
 use crate::once::{self, Key, KeyVerdict, Mark};
@@ -15,13 +15,14 @@
 /// Limits of a [`Gate`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Most requests that run or wait at the target. Default 256.
+    /// Maximum number of requests that run or wait at the target. Default 256.
     pub limit: usize,
-    /// How far an agent may lag behind a change of owners, clock skew of
-    /// callers included. Default 10 s: a change is in force within 7 s.
+    /// Margin after a change of key owners in which the former owner may still run keys: the
+    /// longest delay until all agents apply the change, plus the clock skew of callers.
+    /// Default 10 s: agents apply a change within 7 s.
     pub handover: Millis,
-    /// A gate that was not ticked for so long was paused, and knows nothing of
-    /// what changed meanwhile. Default 3 s: well under `handover`.
+    /// Longest interval between two ticks. After a longer one the process is taken to have been
+    /// suspended and to have missed changes of key owners. Default 3 s: well under `handover`.
     pub pause: Millis,
     /// Limits of the at-most-once table.
     pub once: once::Options,
@@ -33,20 +34,20 @@
     }
 }
 
-/// What the gate needs to know of a dispatch.
+/// Properties of a dispatched attempt by which the gate decides.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The incarnation it is meant for.
+    /// Incarnation of the agent that the attempt was sent to.
     pub incarnation: Incarnation,
-    /// When it is no longer wanted.
+    /// Time after which the caller no longer waits for an answer.
     pub deadline: Millis,
-    /// Whether it must not run more than once.
+    /// Whether the request is unsafe: it must run at most once.
     pub unsafe_repeat: bool,
-    /// Its idempotency key.
+    /// Idempotency key of the request.
     pub key: Option<Key>,
-    /// When the caller made the key, if said.
+    /// Time at which the caller created the key, if the request states it.
     pub issued: Option<Millis>,
     /// Hash of method, path and body.
     pub body_hash: u64,
@@ -55,127 +56,131 @@
 /// The gate's decision on a dispatch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Run it.
+    /// Run the attempt.
     Run,
-    /// Send the recorded answer.
+    /// Answer with the recorded answer of the key.
     Replay(once::Answer),
-    /// Refuse it.
+    /// Refuse the attempt.
     Refuse(Refusal),
 }
 
-/// The gate.
+/// Admission control of one target, for one incarnation of its agent.
 #[derive(Debug)]
 pub struct Gate {
     options: Options,
-    me: Incarnation,
+    incarnation: Incarnation,
     started: Millis,
     table: once::Table,
     running: usize,
     leaving: bool,
     name: String,
-    owners: Vec<Owners>,
-    /// When the gate last ran.
-    last: Millis,
+    /// The declared sets of key owners that still matter, oldest first.
+    owner_sets: Vec<OwnerSet>,
+    /// Time of the last tick.
+    last_tick: Millis,
 }
 
-/// The declared targets that share keys with this one, since a time.
+/// The declared targets among which keys are distributed, and the time since which this
+/// declaration has been in force.
 #[derive(Debug)]
-struct Owners {
+struct OwnerSet {
     since: Millis,
     names: Vec<String>,
 }
 
 impl Gate {
-    /// Opens the gate of target `name`.
-    pub fn open(options: Options, me: Incarnation, name: &str, now: Millis) -> Self {
+    /// Returns the gate of target `name` for an agent of `incarnation` that starts at `now`.
+    pub fn open(options: Options, incarnation: Incarnation, name: &str, now: Millis) -> Self {
         Self {
             options,
-            me,
+            incarnation,
             started: now,
             table: once::Table::open(options.once),
             running: 0,
             leaving: false,
             name: name.to_owned(),
-            owners: Vec::new(),
-            last: now,
+            owner_sets: Vec::new(),
+            last_tick: now,
         }
     }
 
-    /// Number of requests that run.
+    /// Returns the number of running attempts.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Whether the target is leaving.
+    /// Returns whether the target is draining and accepts no new work.
     pub fn leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Size of the at-most-once table: attempts and keys.
+    /// Returns the number of attempts and of keys in the at-most-once table.
     pub fn remembered(&self) -> (usize, usize) {
         self.table.len()
     }
 
-    /// Stops new work for good. There is no way back within an incarnation.
+    /// Starts to drain: refuses new work for the rest of this incarnation.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Records the declared targets among which keys are owned.
+    /// Records the declared targets among which keys are distributed, in force from `now` on.
     pub fn declare(&mut self, now: Millis, names: Vec<String>) {
-        if self.owners.last().is_some_and(|it| it.names == names) {
+        if self.owner_sets.last().is_some_and(|it| it.names == names) {
             return;
         }
-        // The first set that an incarnation sees reaches back to its start.
-        let since = if self.owners.is_empty() { self.started } else { now };
-        self.owners.push(Owners { since, names });
-        // A set is dropped when no key can be so old that it mattered.
+        // The first set that an incarnation learns of applies from its start.
+        let since = if self.owner_sets.is_empty() { self.started } else { now };
+        self.owner_sets.push(OwnerSet { since, names });
+        // A set is dropped once no acceptable key can have been created while it was in force.
         let oldest = now.saturating_sub(self.options.once.keep + self.options.handover);
-        while self.owners.len() > 1 && self.owners[1].since < oldest {
-            self.owners.remove(0);
+        while self.owner_sets.len() > 1 && self.owner_sets[1].since < oldest {
+            self.owner_sets.remove(0);
         }
     }
 
-    /// Tells the gate that time passes, often.
+    /// Records that the process is running, to detect that it was suspended. To be called at
+    /// intervals well below [`Options::pause`].
     pub fn tick(&mut self, now: Millis) {
-        if now > self.last + self.options.pause {
-            // Keys may have had another owner while this process was paused:
-            // it owns them anew from now on.
-            self.owners.drain(..self.owners.len().saturating_sub(1));
-            if let Some(set) = self.owners.last_mut() {
+        if now > self.last_tick + self.options.pause {
+            // Keys may have had other owners while this process was suspended, so its
+            // ownership counts from now on only.
+            self.owner_sets.drain(..self.owner_sets.len().saturating_sub(1));
+            if let Some(set) = self.owner_sets.last_mut() {
                 set.since = now;
             }
         }
-        self.last = self.last.max(now);
+        self.last_tick = self.last_tick.max(now);
     }
 
-    /// Decides on a dispatch, and records it if it runs.
-    pub fn dispatch(&mut self, now: Millis, it: &Dispatch) -> Decision {
-        self.dispatch_if(now, it, || Ok(()))
+    /// Decides on a dispatched attempt, and records it if it runs.
+    pub fn dispatch(&mut self, now: Millis, dispatch: &Dispatch) -> Decision {
+        self.dispatch_if(now, dispatch, || Ok(()))
     }
 
-    /// The same, where the target may want nothing now: `takes` is asked last, about
-    /// requests that would run, so that what is known of an earlier post is told all the same.
+    /// Decides like [`Gate::dispatch`], with an additional check `admit` whether the target
+    /// accepts requests at the moment. It is called last, and only for attempts that would run,
+    /// so that the state or answer of a known key is reported even if the target accepts none.
     pub fn dispatch_if(
         &mut self,
         now: Millis,
-        it: &Dispatch,
-        takes: impl FnOnce() -> Result<(), Refusal>,
+        dispatch: &Dispatch,
+        admit: impl FnOnce() -> Result<(), Refusal>,
     ) -> Decision {
         self.tick(now);
-        match self.check(now, it) {
+        match self.check_dispatch(now, dispatch) {
             Ok(()) => {}
             Err(reason) => return Decision::Refuse(reason),
         }
-        if let Some(key) = it.key.as_ref().filter(|_| it.unsafe_repeat) {
-            match self.check_key(now, it, key) {
+        if let Some(key) = dispatch.key.as_ref().filter(|_| dispatch.unsafe_repeat) {
+            match self.check_key(now, dispatch, key) {
                 KeyVerdict::Run => {}
                 KeyVerdict::Replay(answer) => return Decision::Replay(answer),
                 KeyVerdict::Refuse(reason) => return Decision::Refuse(reason),
             }
         }
-        if let Err(reason) = takes().and_then(|()| self.table.start(now, it.attempt)) {
-            if let Some(key) = it.key.as_ref().filter(|_| it.unsafe_repeat) {
+        if let Err(reason) = admit().and_then(|()| self.table.start(now, dispatch.attempt)) {
+            if let Some(key) = dispatch.key.as_ref().filter(|_| dispatch.unsafe_repeat) {
                 self.table.release_key(key);
             }
             return Decision::Refuse(reason);
@@ -184,19 +189,19 @@
         Decision::Run
     }
 
-    fn check(&self, now: Millis, it: &Dispatch) -> Result<(), Refusal> {
-        match self.table.mark(it.attempt) {
+    fn check_dispatch(&self, now: Millis, dispatch: &Dispatch) -> Result<(), Refusal> {
+        match self.table.mark(dispatch.attempt) {
             Some(Mark::Blocked) => return Err(Refusal::Blocked),
             Some(_) => return Err(Refusal::Duplicate),
             None => {}
         }
-        if it.incarnation != self.me {
+        if dispatch.incarnation != self.incarnation {
             return Err(Refusal::WrongIncarnation);
         }
         if self.leaving {
             return Err(Refusal::Leaving);
         }
-        if now >= it.deadline {
+        if now >= dispatch.deadline {
             return Err(Refusal::DeadlinePassed);
         }
         if self.running >= self.options.limit {
@@ -205,42 +210,43 @@
         Ok(())
     }
 
-    /// A key runs here only if no other process can have run it: this agent
-    /// owns it by its declarations, and has done so since before the key was
-    /// made. A key without a time is taken to be as old as keys may be.
-    fn check_key(&mut self, now: Millis, it: &Dispatch, key: &Key) -> KeyVerdict {
+    /// Accepts a key only if no other process can have run it: this agent owns it by the
+    /// declarations that it knows, and has owned it since `handover` before the key was created.
+    /// A key without a creation time is taken to be as old as keys may be.
+    fn check_key(&mut self, now: Millis, dispatch: &Dispatch, key: &Key) -> KeyVerdict {
         if self.table.has_key(key) {
-            return self.table.start_key(key, it.body_hash);
+            return self.table.start_key(key, dispatch.body_hash);
         }
         let oldest = now.saturating_sub(self.options.once.keep);
         let newest = now + self.options.handover;
-        if it.issued.is_some_and(|at| at < oldest || at > newest) {
+        if dispatch.issued.is_some_and(|at| at < oldest || at > newest) {
             return KeyVerdict::Refuse(Refusal::KeyExpired);
         }
-        let made = it.issued.unwrap_or(oldest);
+        let issued = dispatch.issued.unwrap_or(oldest);
         if !self.owns(key) {
             return KeyVerdict::Refuse(Refusal::NotOwner);
         }
-        if made < self.owned_since(key).saturating_add(self.options.handover) {
+        if issued < self.owned_since(key).saturating_add(self.options.handover) {
             return KeyVerdict::Refuse(Refusal::KeyUncertain);
         }
-        self.table.start_key(key, it.body_hash)
+        self.table.start_key(key, dispatch.body_hash)
     }
 
     fn owns(&self, key: &Key) -> bool {
-        self.owners.last().is_some_and(|it| self.owns_in(key, it))
+        self.owner_sets.last().is_some_and(|it| self.owns_in(key, it))
     }
 
-    fn owns_in(&self, key: &Key, set: &Owners) -> bool {
+    fn owns_in(&self, key: &Key, set: &OwnerSet) -> bool {
         let text = owner_key(key);
         let owner = rendezvous::owner(&text, set.names.iter().map(String::as_str));
         owner == Some(self.name.as_str())
     }
 
-    /// Since when this agent has owned `key` without a break.
+    /// Returns the time since which this agent has owned `key` without interruption, or
+    /// `Millis::MAX` if it doesn't own it.
     fn owned_since(&self, key: &Key) -> Millis {
         let mut since = Millis::MAX;
-        for set in self.owners.iter().rev() {
+        for set in self.owner_sets.iter().rev() {
             if !self.owns_in(key, set) {
                 break;
             }
@@ -249,7 +255,8 @@
         since
     }
 
-    /// Records the end of an attempt that ran.
+    /// Records how a running attempt ended. `key` is its idempotency key, if the request is
+    /// unsafe.
     pub fn finish(&mut self, now: Millis, attempt: AttemptId, key: Option<&Key>, end: End) {
         self.running = self.running.saturating_sub(1);
         self.table.finish(attempt);
@@ -261,8 +268,8 @@
         }
     }
 
-    /// Answers a probe: what is known of the attempt. An attempt that was
-    /// not seen is refused from now on.
+    /// Answers a probe with the state of the attempt. An unknown attempt is refused from now on,
+    /// should its dispatch still arrive.
     pub fn probe(&mut self, now: Millis, attempt: AttemptId) -> Mark {
         self.table.block(now, attempt)
     }
@@ -271,15 +278,15 @@
 /// How an attempt ended at the target.
 #[derive(Debug)]
 pub enum End {
-    /// The target was never reached.
+    /// The attempt didn't run: no connection to the target was made.
     NotRun,
-    /// The whole answer came.
+    /// The target's answer is complete.
     Whole(once::Answer),
-    /// It may have run; there is no whole answer.
+    /// The attempt may have run, but there is no complete answer.
     Broken,
 }
 
-/// The text by which owners of a key are ranked.
+/// Returns the text that is hashed to choose the owner of a key among the declared targets.
 pub fn owner_key(key: &Key) -> String {
     format!("{}\u{0}{}", key.customer, key.text)
 }
