--- a/crates/sablepass-core/src/once.rs
+++ b/crates/sablepass-core/src/once.rs
@@ -1,12 +1,13 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The at-most-once table of an agent.
+//! The at-most-once table of an agent, through which the gate keeps unsafe requests from running
+//! twice.
 //!
-//! Two indexes: by attempt, so that a doubled or late dispatch does not run,
-//! and by (customer, idempotency key), so that a key posted again through
-//! any entry does not run again. Both are bounded; a full table refuses new
-//! work rather than forget old work early.
+//! It has two indexes: by attempt, so that a duplicated or delayed dispatch does not run, and by
+//! customer and idempotency key, so that a request repeated through any entry does not run
+//! again. Both are bounded. A full table refuses new work: to evict a record before its
+//! retention ends would allow a second run.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -16,16 +17,16 @@
 /// Limits of a [`Table`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// How long an attempt or a finished key is remembered. Default 600 s.
+    /// Retention of attempts and of keys, the latter from the end of their request. Default 600 s.
     pub keep: Millis,
-    /// Most attempts remembered. Default 200,000.
+    /// Maximum number of recorded attempts. Default 200,000.
     pub attempts: usize,
-    /// Most keys remembered. Default 20,000.
+    /// Maximum number of recorded keys. Default 20,000.
     pub keys: usize,
-    /// Longest answer kept for a key, in bytes. Default 16 KiB.
+    /// Maximum size in bytes of an answer that is recorded for a key. Default 16 KiB.
     pub answer: usize,
-    /// Bytes of all answers kept for keys. Default 16 MiB. An answer beyond is
-    /// not kept; its key still does not run again.
+    /// Maximum size in bytes of all recorded answers together. Default 16 MiB. An answer above
+    /// a limit is not recorded, but its key does not run again either.
     pub answers: usize,
 }
 
@@ -44,13 +45,13 @@
 /// A customer's idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// Qualified customer name.
+    /// Qualified name of the customer.
     pub customer: String,
-    /// The caller's key.
+    /// The key as the caller sent it.
     pub text: String,
 }
 
-/// A kept answer.
+/// The recorded answer of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
@@ -61,20 +62,21 @@
     pub body: Vec<u8>,
 }
 
-/// What the table knows of an attempt.
+/// State of a recorded attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mark {
-    /// It must never run here.
+    /// The attempt has not run and is refused if it arrives.
     Blocked,
-    /// It runs.
+    /// The attempt is running.
     Running,
-    /// It has ended.
+    /// The attempt has finished.
     Finished,
 }
 
 #[derive(Debug)]
 enum KeyState {
     Running,
+    /// The answer is `None` if it was interrupted or above a size limit.
     Finished(Option<Answer>),
 }
 
@@ -84,91 +86,93 @@
     state: KeyState,
 }
 
-/// What to do with a keyed dispatch.
+/// Decision on a dispatch with an idempotency key.
 #[derive(Debug, PartialEq, Eq)]
 pub enum KeyVerdict {
-    /// The key is new: run it.
+    /// The key is new: run the request.
     Run,
-    /// The key has an answer: send that.
+    /// The key's request has finished: send its recorded answer.
     Replay(Answer),
-    /// Do not run it.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// The table.
+/// The at-most-once table.
 #[derive(Debug)]
 pub struct Table {
     options: Options,
-    marks: HashMap<AttemptId, Mark>,
-    mark_order: VecDeque<(Millis, AttemptId)>,
+    attempts: HashMap<AttemptId, Mark>,
+    /// Attempts by the time from which their retention counts, oldest first.
+    attempt_order: VecDeque<(Millis, AttemptId)>,
     keys: HashMap<Key, KeyRecord>,
+    /// Finished keys by the end of their request, oldest first.
     key_order: VecDeque<(Millis, Key)>,
-    /// Bytes of the answers kept.
-    kept: usize,
+    /// Total size of the recorded answers in bytes.
+    answer_bytes: usize,
 }
 
 impl Table {
-    /// Opens an empty table.
+    /// Returns an empty table.
     pub fn open(options: Options) -> Self {
         Self {
             options,
-            marks: HashMap::new(),
-            mark_order: VecDeque::new(),
+            attempts: HashMap::new(),
+            attempt_order: VecDeque::new(),
             keys: HashMap::new(),
             key_order: VecDeque::new(),
-            kept: 0,
+            answer_bytes: 0,
         }
     }
 
-    /// What is known of `attempt`.
+    /// Returns the state of `attempt`, if it is recorded.
     pub fn mark(&self, attempt: AttemptId) -> Option<Mark> {
-        self.marks.get(&attempt).copied()
+        self.attempts.get(&attempt).copied()
     }
 
-    /// Number of remembered attempts and keys.
+    /// Returns the number of recorded attempts and of recorded keys.
     pub fn len(&self) -> (usize, usize) {
-        (self.marks.len(), self.keys.len())
+        (self.attempts.len(), self.keys.len())
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether no attempt and no key is recorded.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty() && self.keys.is_empty()
+        self.attempts.is_empty() && self.keys.is_empty()
     }
 
-    /// Records that `attempt` starts to run.
+    /// Records that `attempt` starts to run. Refuses an attempt that is already recorded, and any
+    /// attempt while the table is full.
     pub fn start(&mut self, now: Millis, attempt: AttemptId) -> Result<(), Refusal> {
-        self.forget(now);
+        self.remove_expired(now);
         match self.mark(attempt) {
             Some(Mark::Blocked) => return Err(Refusal::Blocked),
             Some(Mark::Running | Mark::Finished) => return Err(Refusal::Duplicate),
             None => {}
         }
-        if self.marks.len() >= self.options.attempts {
+        if self.attempts.len() >= self.options.attempts {
             return Err(Refusal::OnceTableFull);
         }
-        self.put(now, attempt, Mark::Running);
+        self.insert_attempt(now, attempt, Mark::Running);
         Ok(())
     }
 
-    /// Records that `attempt` ended.
+    /// Records that `attempt` has finished.
     pub fn finish(&mut self, attempt: AttemptId) {
-        if let Some(mark) = self.marks.get_mut(&attempt) {
+        if let Some(mark) = self.attempts.get_mut(&attempt) {
             *mark = Mark::Finished;
         }
     }
 
-    /// Tells what is known of `attempt`, and blocks it from then on if that
-    /// is nothing.
+    /// Returns the state of `attempt`. An attempt that is not recorded is blocked from now on.
     pub fn block(&mut self, now: Millis, attempt: AttemptId) -> Mark {
-        self.forget(now);
+        self.remove_expired(now);
         if let Some(mark) = self.mark(attempt) {
             return mark;
         }
-        self.put(now, attempt, Mark::Blocked);
+        self.insert_attempt(now, attempt, Mark::Blocked);
         Mark::Blocked
     }
 
-    /// Decides on a keyed dispatch and records the key if it may run.
+    /// Decides on a request with an idempotency key, and records the key if the request may run.
     pub fn start_key(&mut self, key: &Key, body_hash: u64) -> KeyVerdict {
         let Some(record) = self.keys.get(key) else {
             if self.keys.len() >= self.options.keys {
@@ -188,48 +192,48 @@
         }
     }
 
-    /// Whether a key is remembered.
+    /// Returns whether a key is recorded.
     pub fn has_key(&self, key: &Key) -> bool {
         self.keys.contains_key(key)
     }
 
-    /// Records that a key's request ended, with its answer if it is whole.
-    /// The key's time to live starts here, not at its first post.
+    /// Records that the request of a key has finished, with its answer if that is complete. The
+    /// retention of the key counts from here, not from the start of the request.
     pub fn finish_key(&mut self, now: Millis, key: &Key, answer: Option<Answer>) {
         let Some(record) = self.keys.get_mut(key) else {
             return;
         };
-        let room = self.options.answer.min(self.options.answers - self.kept);
+        let room = self.options.answer.min(self.options.answers - self.answer_bytes);
         let kept = answer.filter(|it| it.body.len() <= room);
-        self.kept += kept.as_ref().map_or(0, |it| it.body.len());
+        self.answer_bytes += kept.as_ref().map_or(0, |it| it.body.len());
         record.state = KeyState::Finished(kept);
         self.key_order.push_back((now, key.clone()));
     }
 
-    /// Forgets a key whose request provably did not run.
+    /// Removes a key whose request provably did not run.
     pub fn release_key(&mut self, key: &Key) {
         self.keys.remove(key);
     }
 
-    fn put(&mut self, now: Millis, attempt: AttemptId, mark: Mark) {
-        self.marks.insert(attempt, mark);
-        self.mark_order.push_back((now, attempt));
+    fn insert_attempt(&mut self, now: Millis, attempt: AttemptId, mark: Mark) {
+        self.attempts.insert(attempt, mark);
+        self.attempt_order.push_back((now, attempt));
     }
 
-    /// Forgets what is older than the options say. A running attempt is
-    /// never forgotten: it is queued again.
-    fn forget(&mut self, now: Millis) {
+    /// Removes attempts and keys whose retention has ended. The retention of a running attempt is
+    /// renewed, so that it is never removed.
+    fn remove_expired(&mut self, now: Millis) {
         let oldest = now.saturating_sub(self.options.keep);
-        while let Some(&(at, attempt)) = self.mark_order.front() {
+        while let Some(&(at, attempt)) = self.attempt_order.front() {
             if at >= oldest {
                 break;
             }
-            self.mark_order.pop_front();
-            if self.marks.get(&attempt) == Some(&Mark::Running) {
-                self.mark_order.push_back((now, attempt));
+            self.attempt_order.pop_front();
+            if self.attempts.get(&attempt) == Some(&Mark::Running) {
+                self.attempt_order.push_back((now, attempt));
                 continue;
             }
-            self.marks.remove(&attempt);
+            self.attempts.remove(&attempt);
         }
         while self.key_order.front().is_some_and(|(at, _)| *at < oldest) {
             let Some((_, key)) = self.key_order.pop_front() else {
@@ -237,7 +241,7 @@
             };
             let record = self.keys.remove(&key);
             if let Some(KeyState::Finished(Some(answer))) = record.map(|it| it.state) {
-                self.kept -= answer.body.len();
+                self.answer_bytes -= answer.body.len();
             }
         }
     }
