--- a/crates/sablepass-core/src/outcome.rs
+++ b/crates/sablepass-core/src/outcome.rs
@@ -1,23 +1,23 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a caller is told of a request that has no answer.
+//! Outcome reported to the caller of a request that failed.
 
 use crate::reason;
 
-/// Whether the request ran.
+/// Whether a request ran at any target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// It did not run and never will. Only said with proof.
+    /// The request did not run and never will. Reported only if that is proved.
     NotRun = 0,
-    /// It ran, wholly or in part.
+    /// The request ran, completely or in part.
     Ran = 1,
-    /// Nobody who can be reached knows.
+    /// No reachable process knows whether the request ran.
     Unknown = 2,
 }
 
 impl Ran {
-    /// The value of the `x-sablepass-ran` header.
+    /// Returns the value of the `x-sablepass-ran` header.
     pub fn label(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Reads a number from the wire; anything odd is unknown.
+    /// Decodes the number used on the wire. Any undefined number means [`Ran::Unknown`].
     pub fn parse(code: u32) -> Self {
         match code {
             0 => Self::NotRun,
@@ -36,10 +36,10 @@
     }
 }
 
-/// A final failure, as the caller gets it.
+/// The failure of an attempt, or the final one that is reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The reason.
+    /// Why the request failed.
     pub reason: reason::Refusal,
     /// Whether the request ran.
     pub ran: Ran,
