--- a/crates/sablepass-core/src/events.rs
+++ b/crates/sablepass-core/src/events.rs
@@ -1,60 +1,61 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Cuts a stream into whole events, so that it can be taken up again at
-//! another target after the last one that the caller got.
+//! Splits a stream of server-sent events into complete events, so that another target can
+//! continue an interrupted stream after the last event that the caller got.
 
 use sseer::parser::{self, RawEventLine};
 
-/// The bytes of a stream that do not make a whole event yet.
+/// Buffers the bytes of a stream until they make a complete event.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     pending: Vec<u8>,
-    /// Bytes of `pending` that are whole lines.
-    lines: usize,
-    /// Id in those lines.
-    id: Option<String>,
-    last: Option<String>,
+    /// Length in bytes of the complete lines at the start of `pending`.
+    lines_len: usize,
+    /// Id of the incomplete event, if its `id` field has arrived.
+    pending_id: Option<String>,
+    /// Id of the last complete event that had one.
+    last_id: Option<String>,
 }
 
 impl Splitter {
-    /// Takes bytes in and returns those of the events that are whole now.
+    /// Appends bytes of the stream and returns those of all events that are complete now.
     pub fn take(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.pending.extend_from_slice(bytes);
-        let mut whole = 0;
-        while let Some((line, rest)) = parser::parse_line(&self.pending[self.lines..]) {
+        let mut complete_len = 0;
+        while let Some((line, rest)) = parser::parse_line(&self.pending[self.lines_len..]) {
             let end = self.pending.len() - rest.len();
             match line {
                 RawEventLine::Empty => {
-                    whole = end;
-                    self.last = self.id.take().or(self.last.take());
+                    complete_len = end;
+                    self.last_id = self.pending_id.take().or(self.last_id.take());
                 }
                 RawEventLine::Field { field_name: b"id", field_value: Some(value) } => {
-                    self.id = Some(String::from_utf8_lossy(value).into_owned());
+                    self.pending_id = Some(String::from_utf8_lossy(value).into_owned());
                 }
                 RawEventLine::Field { .. } | RawEventLine::Comment => {}
             }
-            self.lines = end;
+            self.lines_len = end;
         }
-        let rest = self.pending.split_off(whole);
-        self.lines -= whole;
+        let rest = self.pending.split_off(complete_len);
+        self.lines_len -= complete_len;
         std::mem::replace(&mut self.pending, rest)
     }
 
-    /// Id of the last whole event that had one.
+    /// Returns the id of the last complete event that had one.
     pub fn last(&self) -> Option<&str> {
-        self.last.as_deref()
+        self.last_id.as_deref()
     }
 
-    /// Whether an event has begun and not ended.
+    /// Returns whether an incomplete event is buffered.
     pub fn is_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Drops what has begun: its target will not end it.
+    /// Discards an incomplete event before another target continues the stream.
     pub fn restart(&mut self) {
         self.pending.clear();
-        self.lines = 0;
-        self.id = None;
+        self.lines_len = 0;
+        self.pending_id = None;
     }
 }
