--- a/crates/sablepass-core/src/fingerprint.rs
+++ b/crates/sablepass-core/src/fingerprint.rs
@@ -1,21 +1,21 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What makes two requests the same request, sent twice under two names.
+//! Identifies requests of equal content, such as retries by the caller, whose ids differ.
 
 use std::fmt;
 use std::hash::Hash;
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 
-/// Stands for what a request asks for. It is the same in every process, and no
-/// caller's text can be read from it. The customer is part of it, so that
-/// nobody's request can be mistaken for another customer's.
+/// Hash of a request's content. All processes compute the same value, and no text of the caller
+/// can be read from it. The customer is hashed too, so that equal requests of two customers
+/// differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// That of a request for a service. Reads the whole body, at about 1 GB/s.
+    /// Returns the fingerprint of a request for a service. Hashes the whole body, at about 1 GB/s.
     pub fn of(service: &str, customer: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = SipHasher13::new();
         (service, customer, path, body).hash(&mut hasher);
