--- a/crates/sablepass-core/src/lib.rs
+++ b/crates/sablepass-core/src/lib.rs
@@ -1,12 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Decisions of sablepass: routing, limits, retries, membership,
-//! configuration and expert placement.
+//! Decision logic of sablepass: routing, limits, retries, membership, configuration and expert
+//! placement.
 //!
-//! This crate knows nothing of sockets, clocks or threads. Time is an
-//! argument in milliseconds since the Unix epoch, and randomness is a
-//! generator handed in, so everything here runs in virtual time under test.
+//! This crate uses no sockets, clocks or threads. Callers pass the current time in milliseconds
+//! since the Unix epoch and a random number generator, so that tests run all of it
+//! deterministically in virtual time.
 
 pub mod admit;
 pub mod balance;
