--- a/crates/sablepass-core/src/reason.rs
+++ b/crates/sablepass-core/src/reason.rs
@@ -1,8 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Closed sets of reasons. Each one has its own counter: a new refusal
-//! needs one variant here and one label.
+//! Reasons for refusals, retries and ignored messages, with their wire codes and labels. Each
+//! reason has a counter of its own. A new reason is one line in a `reasons!`
+//! block; a refusal also needs an HTTP status.
 
 use crate::outcome::Ran;
 
@@ -13,20 +14,20 @@
         pub enum $name { $($(#[$doc])* $variant = $code,)* }
 
         impl $name {
-            /// Every reason, in the order of its code.
+            /// All reasons, in the order of their declaration.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The counter label and the `code` field of an error body.
+            /// Returns the label of the counter, also used as the `code` of an error body.
             pub fn label(self) -> &'static str {
                 match self { $(Self::$variant => $label,)* }
             }
 
-            /// The number used on the wire.
+            /// Returns the number used on the wire.
             pub fn code(self) -> u32 {
                 self as u32
             }
 
-            /// Reads a number from the wire.
+            /// Decodes the number used on the wire. Returns `None` for an unknown number.
             pub fn parse(code: u32) -> Option<Self> {
                 Self::ALL.iter().copied().find(|it| it.code() == code)
             }
@@ -37,171 +38,174 @@
 reasons! {
     /// Why a request was refused or failed.
     Refusal {
-        /// No or unknown caller key.
+        /// The request has no API key, or an unknown one.
         UnknownKey = 1, "unknown-key";
-        /// The customer may not use this model or service.
+        /// The customer is not permitted to use this model or service.
         NotGranted = 2, "not-granted";
-        /// No accepted declaration names this model or service.
+        /// No accepted declaration contains this model or service.
         UnknownModel = 3, "unknown-model";
-        /// The path is not part of the interface.
+        /// The path is not part of the API.
         UnknownPath = 4, "unknown-path";
-        /// The path exists and the method does not fit it.
+        /// The path doesn't support the method.
         WrongMethod = 5, "wrong-method";
-        /// The body is not JSON of the expected shape.
+        /// The body is not JSON of the expected structure.
         BadBody = 6, "bad-body";
-        /// A header has a value that is not allowed.
+        /// A header has an invalid value.
         BadHeader = 7, "bad-header";
-        /// The body is longer than the limit.
+        /// The body exceeds the size limit.
         BodyTooLarge = 8, "body-too-large";
-        /// The customer is over its share while capacity is short.
+        /// The customer exceeds its share while capacity is short.
         OverShare = 9, "over-share";
-        /// Capacity is short and the priority is the lowest.
+        /// The load exceeds the threshold for the request's priority.
         Saturated = 10, "saturated";
-        /// The customer holds as many requests as it may.
+        /// The customer has reached its maximum of concurrent requests.
         CustomerLimit = 11, "customer-limit";
-        /// The process holds as many exchanges as it may.
+        /// The process has reached its maximum of concurrent exchanges.
         ProcessLimit = 12, "process-limit";
-        /// The partner's grant to the customer's partner is used up.
+        /// The capacity that the model's owner granted to the customer's partner is used up.
         GrantUsed = 13, "grant-used";
-        /// No live target serves the model.
+        /// No target that is alive serves the model.
         NoTarget = 14, "no-target";
-        /// The target that owns the idempotency key cannot be reached.
+        /// The target that owns the idempotency key is unreachable.
         OwnerAway = 15, "owner-away";
-        /// The request's deadline passed.
+        /// The deadline of the request has passed.
         DeadlinePassed = 16, "deadline-passed";
         /// The retry budget is used up.
         RetryBudget = 17, "retry-budget";
-        /// This process is stopping.
+        /// This process is shutting down.
         Stopping = 18, "stopping";
-        /// The caller went away.
+        /// The caller closed its connection.
         CallerGone = 19, "caller-gone";
-        /// The agent was started anew since the attempt was sent.
+        /// The agent has restarted since the attempt was sent.
         WrongIncarnation = 20, "wrong-incarnation";
-        /// The agent has seen this attempt before.
+        /// The agent has received this attempt before.
         Duplicate = 21, "duplicate";
-        /// The agent was told earlier to refuse this attempt.
+        /// The agent had blocked this attempt in answer to a probe.
         Blocked = 22, "blocked";
-        /// The target is leaving.
+        /// The target is draining.
         Leaving = 23, "leaving";
-        /// The agent holds as many requests as it may.
+        /// The agent has reached its maximum of concurrent requests.
         AgentLimit = 24, "agent-limit";
-        /// The agent's table of requests that must not repeat is full.
+        /// The agent's at-most-once table is full.
         OnceTableFull = 25, "once-table-full";
-        /// The key was used with another body.
+        /// The idempotency key was used with another request body before.
         KeyReused = 26, "key-reused";
-        /// The key's first post is still running.
+        /// The first request with this idempotency key is still running.
         KeyInFlight = 27, "key-in-flight";
-        /// The key may have run before this owner knew of it.
+        /// A former owner of the idempotency key may have run it.
         KeyUncertain = 28, "key-uncertain";
-        /// The key's answer was too long to keep.
+        /// The request with this idempotency key has run, but its answer was not recorded: it is
+        /// incomplete or exceeds a size limit.
         KeyAnswerLost = 29, "key-answer-lost";
-        /// This agent does not own the key by its declarations.
+        /// This agent does not own the idempotency key by the declarations that it has.
         NotOwner = 30, "not-owner";
-        /// The engine could not be connected to.
+        /// The connection to the engine failed.
         EngineAway = 31, "engine-away";
-        /// The engine said it is too busy.
+        /// The engine answered that it is overloaded.
         EngineBusy = 32, "engine-busy";
-        /// The engine failed or its answer broke off.
+        /// The engine failed, or its answer was interrupted.
         EngineBroke = 33, "engine-broke";
         /// Contact with the agent was lost.
         ContactLost = 34, "contact-lost";
-        /// An answer's bytes were not contiguous.
+        /// Bytes of the answer are missing.
         AnswerGap = 35, "answer-gap";
-        /// The agent restarted and its memory of the attempt is gone.
+        /// The agent restarted and no longer has any record of the attempt.
         AgentRestarted = 36, "agent-restarted";
-        /// The answer is longer than the entry keeps.
+        /// The answer exceeds the entry's buffer limit.
         AnswerTooLarge = 37, "answer-too-large";
-        /// The key was made longer ago than keys are remembered, or in the future.
+        /// The idempotency key was created longer ago than keys are retained, or in the future.
         KeyExpired = 38, "key-expired";
-        /// The target said that it is full and did not run the request.
+        /// The target answered that it is full and did not run the request.
         TargetFull = 41, "target-full";
-        /// Another target has the address now.
+        /// Another target now uses the address.
         Misdirected = 42, "misdirected";
-        /// No route answers this host and path.
+        /// No route matches the host and path.
         UnknownRoute = 43, "unknown-route";
         /// No configuration is in force yet.
         NoConfiguration = 44, "no-configuration";
-        /// The request is not HTTP that can be understood.
+        /// The request is not valid HTTP.
         BadRequest = 45, "bad-request";
-        /// The request did not arrive in time.
+        /// The request did not arrive within its timeout.
         SlowRequest = 46, "slow-request";
-        /// The target's answer is not one to this request.
+        /// The target's answer does not belong to this request.
         WrongAnswer = 47, "wrong-answer";
-        /// The group of engines that serves the model is not complete.
+        /// The group of engines that serves the model is incomplete.
         GroupClosed = 48, "group-closed";
-        /// With one more stream the group's passes would take too long.
+        /// One more stream would make the forward passes of the group too slow.
         Crowded = 49, "crowded";
-        /// Targets end as they run the request.
+        /// The request is blocked as a suspect: targets terminated while they ran it.
         EndsTargets = 50, "ends-targets";
-        /// All targets that could serve it asked not to be sent anything for a while.
+        /// All targets that could serve the request have asked for a pause.
         TargetsRest = 51, "targets-rest";
-        /// The target asked not to be sent anything for a while.
+        /// The target has asked for a pause.
         TargetRests = 52, "target-rests";
-        /// All targets that could serve it get as many requests as they take.
+        /// All targets that could serve the request have reached their request limits.
         TargetsLimited = 53, "targets-limited";
-        /// The target gets as many requests as it takes.
+        /// The target has reached its request limit.
         TargetLimited = 54, "target-limited";
-        /// The headers are longer than the limit.
+        /// The headers exceed the size limit.
         HeaderTooLarge = 40, "header-too-large";
     }
 }
 
 reasons! {
-    /// Why an attempt was followed by another one.
+    /// Why a request was sent again.
     Retry {
-        /// The agent refused with proof that nothing ran.
+        /// The agent refused the attempt. An unsafe request is retried only if the refusal proves
+        /// that the attempt did not run.
         Refused = 1, "refused";
-        /// Contact was lost before any of the answer was delivered.
+        /// Contact with the agent was lost, and no part of an answer was delivered that can't be
+        /// resumed.
         ContactLost = 2, "contact-lost";
-        /// The engine failed before any of the answer was delivered.
+        /// The engine failed, and no part of an answer was delivered that can't be resumed.
         EngineFailed = 3, "engine-failed";
-        /// The engine said it is too busy.
+        /// The engine answered that it is overloaded.
         EngineBusy = 4, "engine-busy";
-        /// The answer had a gap before any of it was delivered.
+        /// Bytes of an answer were missing, and no part was delivered that can't be resumed.
         AnswerGap = 5, "answer-gap";
-        /// The target gave no sign of life within the limit.
+        /// The target's agent sent nothing within the stall timeout.
         Stalled = 6, "stalled";
-        /// The target takes so long that it holds up all that others run.
+        /// The target is so slow that it delays all requests of its group.
         SlowTarget = 7, "slow-target";
-        /// Nothing is heard of the target's machine, nor of the request there.
+        /// The target's machine is unresponsive, and no part of the answer arrived for a while.
         QuietTarget = 8, "quiet-target";
-        /// The target asked to be left alone before anything of the attempt was sent.
+        /// The target asked for a pause before any part of the attempt was sent.
         TargetRests = 9, "target-rests";
     }
 }
 
 reasons! {
-    /// Why something that arrived was ignored.
+    /// Why a received message or item was ignored.
     Ignored {
-        /// An answer for an attempt that was given up.
+        /// An answer to an attempt that was abandoned.
         LateAnswer = 1, "late-answer";
-        /// A configuration older than the one held.
+        /// A configuration older than the current one.
         OldRevision = 2, "old-revision";
-        /// A delta that starts after what is held.
+        /// A delta that starts at a later revision than the stored one.
         DeltaGap = 3, "delta-gap";
-        /// Two processes at one revision with different content.
+        /// A peer's configuration of the same revision has different content.
         HashMismatch = 4, "hash-mismatch";
-        /// A frame that does not decode or lacks a field.
+        /// A frame that can't be decoded or lacks a field.
         BadFrame = 5, "bad-frame";
-        /// A heartbeat of an incarnation that is known to be leaving.
+        /// A heartbeat that contradicts the announcement that its incarnation is draining.
         LateHeartbeat = 6, "late-heartbeat";
         /// An expert-map message of an older version.
         OldBallot = 7, "old-ballot";
-        /// An item of the platform that does not decode.
+        /// An item of the platform that can't be decoded.
         BadDocument = 8, "bad-document";
-        /// A group with more ranks than a switch takes: it is served without maps.
+        /// A group with more ranks than a switch supports; it is served without expert maps.
         LargeGroup = 9, "large-group";
-        /// Word of a target that nobody lists, beyond what is kept of such.
+        /// A notice about an unlisted target, beyond the number of such notices that are kept.
         ManyNotices = 10, "many-notices";
-        /// A document whose own number is lower than that of the one in force.
+        /// A document with a lower version number than the current one.
         OlderVersion = 11, "older-version";
-        /// A line of an instance that left, as a restored service lists it again.
+        /// A line of an instance that has left, listed again by a restored service.
         FormerLine = 12, "former-line";
     }
 }
 
 impl Refusal {
-    /// The HTTP status that a caller gets.
+    /// Returns the HTTP status of the answer to the caller.
     pub fn status(self) -> u16 {
         match self {
             Self::UnknownKey => 401,
@@ -248,12 +252,12 @@
         }
     }
 
-    /// What an agent's refusal says of the *key*: most refusals prove that
-    /// nothing ran, but some speak of an earlier post of the same key.
+    /// Returns whether a request refused by an agent ran. Most refusals prove that it did not run,
+    /// but some report that an earlier request with the same idempotency key did or may have.
     pub fn ran_by_agent(self) -> Ran {
         match self {
             Self::KeyInFlight | Self::KeyAnswerLost => Ran::Ran,
-            // A predecessor of the agent may have run what was meant for it.
+            // A previous incarnation of the agent may have run the attempt.
             Self::KeyUncertain | Self::KeyExpired | Self::Duplicate | Self::WrongIncarnation => {
                 Ran::Unknown
             }
@@ -261,7 +265,7 @@
         }
     }
 
-    /// Whether another target may take what this agent refused.
+    /// Returns whether another target may accept a request that this agent refused.
     pub fn try_elsewhere(self) -> bool {
         matches!(
             self,
