--- a/crates/sablepass-core/tests/scenarios.rs
+++ b/crates/sablepass-core/tests/scenarios.rs
@@ -1,14 +1,29 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Scripted scenarios in virtual time: one request at an entry, with agents'
-//! gates behind a network that the script commands.
+//! Scripted scenarios in virtual time: the state machine of one request at an entry, and the gates
+//! of the agents. The scripts in `tests/scripts` control which messages arrive; the output of a
+//! command lists the actions that the state machine returns.
 //!
-//! Commands: `open` (a request; `unsafe`, `key=K`, `stream`), `send T`, `lose`
-//! (the last dispatch never arrives), `arrive` (it arrives), `head [STATUS]`, `chunk N`,
-//! `event ID` (`cut=N` bytes short), `end`, `last`, `refused` (full, with
-//! proof), `done N`, `down`, `up`, `restart T`, `probe`, `leave T`, `crawls`, `gone`, `wait MS`,
-//! `runs`. The output is what the state machine asks for.
+//! Commands:
+//!
+//! - `open [unsafe] [key=K] [stream] [resume]`: admits a request.
+//! - `send T`: sends the next attempt to target T. `none`: no target could be chosen.
+//! - `arrive`: the last dispatch reaches its agent. `lose`: the last dispatch is lost.
+//! - `unsent`: the target accepts no requests, before any part of the attempt was sent.
+//! - `refused`: the target is full and did not run the attempt.
+//! - `failed [not-run|ran]`: the attempt failed; it may have run unless stated otherwise.
+//! - `head [STATUS]`, `chunk N [at=OFFSET]`, `done N`: parts of an answer of N bytes.
+//! - `event ID [cut=N]`: a server-sent event, without its last N bytes. `end`: the stream ends.
+//! - `last`: prints the id of the last complete event.
+//! - `down`, `up`: the connection to the agent is lost or established.
+//! - `probe`: the agent answers a probe of the attempt.
+//! - `restart T`, `leave T`: the agent of target T restarts or starts to drain.
+//! - `crawls`: the target is very slow. `quiet`: the target's machine is unresponsive.
+//! - `budget N`: sets the retry budget.
+//! - `gone`: the caller closes its connection.
+//! - `wait MS`: time passes, then the timeouts are checked.
+//! - `runs`: prints the number of runs, in all and at each target.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -27,12 +42,15 @@
     gates: BTreeMap<String, (Gate, Incarnation)>,
     target: String,
     incarnation: Incarnation,
+    /// All dispatches, with their targets.
     sent: Vec<(String, gate::Dispatch)>,
     runs: BTreeMap<String, u32>,
+    /// Retries left in the budget.
     budget: u32,
     key: Option<String>,
-    started: u64,
-    /// Bytes of events sent in the attempt.
+    /// Counter from which the incarnations of agents derive.
+    last_incarnation: u64,
+    /// Number of bytes of events sent in the current attempt.
     offset: u64,
 }
 
@@ -48,18 +66,18 @@
             runs: BTreeMap::new(),
             budget: 10,
             key: None,
-            started: 0,
+            last_incarnation: 0,
             offset: 0,
         }
     }
 
     fn gate(&mut self, name: &str) -> &mut (Gate, Incarnation) {
-        self.started += 1;
-        let me = Incarnation(self.started);
+        self.last_incarnation += 1;
+        let incarnation = Incarnation(self.last_incarnation);
         self.gates.entry(name.to_owned()).or_insert_with(|| {
-            let mut gate = Gate::open(gate::Options::default(), me, name, 0);
+            let mut gate = Gate::open(gate::Options::default(), incarnation, name, 0);
             gate.declare(0, vec![name.to_owned()]);
-            (gate, me)
+            (gate, incarnation)
         })
     }
 
@@ -70,13 +88,13 @@
             *budget = budget.saturating_sub(1);
             left
         };
-        let flight = self.flight.as_mut().expect("open comes first");
+        let flight = self.flight.as_mut().expect("`open` is missing");
         flight.on(self.now, 0, event, &mut spend)
     }
 
     fn send(&mut self, name: &str) {
         let incarnation = self.gate(name).1;
-        let flight = self.flight.as_mut().expect("open comes first");
+        let flight = self.flight.as_mut().expect("`open` is missing");
         let attempt = flight.send(self.now, name, incarnation);
         let key = self.key.clone().map(|text| Key { customer: "c".to_owned(), text });
         let dispatch = gate::Dispatch {
@@ -94,9 +112,9 @@
         self.sent.push((name.to_owned(), dispatch));
     }
 
-    /// The last dispatch reaches its agent.
+    /// Passes the last dispatch to the gate of its target.
     fn arrive(&mut self) -> Vec<Action> {
-        let (name, dispatch) = self.sent.last().cloned().expect("something was sent");
+        let (name, dispatch) = self.sent.last().cloned().expect("`send` is missing");
         let now = self.now;
         match self.gate(&name).0.dispatch(now, &dispatch) {
             Decision::Run => {
@@ -109,7 +127,7 @@
     }
 
     fn probe(&mut self) -> Vec<Action> {
-        let flight = self.flight.as_ref().expect("open comes first");
+        let flight = self.flight.as_ref().expect("`open` is missing");
         let (attempt, now, name) = (flight.attempt(), self.now, self.target.clone());
         let verdict = match self.gate(&name).0.probe(now, attempt) {
             Mark::Blocked => Verdict::Blocked,
@@ -120,7 +138,7 @@
     }
 }
 
-fn line(action: &Action) -> String {
+fn describe(action: &Action) -> String {
     match action {
         Action::Dispatch => "choose a target".to_owned(),
         Action::Probe(it) => format!("probe attempt {}", it.number),
@@ -157,12 +175,12 @@
                 vec![Action::Dispatch]
             }
             "send" => {
-                let name = args.next_pos().ok_or("send T")?.to_owned();
+                let name = args.next_pos().ok_or("send: target is missing")?.to_owned();
                 self.send(&name);
                 Vec::new()
             }
             "none" => {
-                let flight = self.flight.as_mut().ok_or("open comes first")?;
+                let flight = self.flight.as_mut().ok_or("`open` is missing")?;
                 flight.refuse(Refusal::NoTarget)
             }
             "arrive" => self.arrive(),
@@ -172,7 +190,7 @@
                 self.event(Event::Head(Head::plain(status, "", false)))
             }
             "event" => {
-                let id: u64 = args.next_pos().ok_or("event ID")?.parse()?;
+                let id: u64 = args.next_pos().ok_or("event: id is missing")?.parse()?;
                 let cut: usize = args.take_key("cut").unwrap_or("0").parse()?;
                 let mut data = format!("id: {id}\ndata: x\n\n").into_bytes();
                 data.truncate(data.len() - cut);
@@ -182,18 +200,18 @@
             }
             "end" => self.event(Event::Done { length: self.offset }),
             "last" => {
-                let flight = self.flight.as_ref().ok_or("open comes first")?;
+                let flight = self.flight.as_ref().ok_or("`open` is missing")?;
                 return Ok(format!("last event {:?}\n", flight.last_event()));
             }
             "refused" => self.event(Event::Refused(Refusal::TargetFull)),
             "unsent" => self.event(Event::Unsent),
             "chunk" => {
                 let offset: u64 = args.take_key("at").unwrap_or("0").parse()?;
-                let length: usize = args.next_pos().ok_or("chunk N")?.parse()?;
+                let length: usize = args.next_pos().ok_or("chunk: length is missing")?.parse()?;
                 self.event(Event::Chunk { offset, data: vec![0; length] })
             }
             "done" => {
-                let length: u64 = args.next_pos().ok_or("done N")?.parse()?;
+                let length: u64 = args.next_pos().ok_or("done: length is missing")?.parse()?;
                 self.event(Event::Done { length })
             }
             "failed" => {
@@ -211,26 +229,26 @@
                 self.event(Event::LinkUp(incarnation))
             }
             "restart" => {
-                let name = args.next_pos().ok_or("restart T")?;
+                let name = args.next_pos().ok_or("restart: target is missing")?;
                 self.gates.remove(name);
                 self.gate(name);
                 Vec::new()
             }
             "probe" => self.probe(),
             "leave" => {
-                let name = args.next_pos().ok_or("leave T")?.to_owned();
+                let name = args.next_pos().ok_or("leave: target is missing")?.to_owned();
                 self.gate(&name).0.leave();
                 Vec::new()
             }
             "budget" => {
-                self.budget = args.next_pos().ok_or("budget N")?.parse()?;
+                self.budget = args.next_pos().ok_or("budget: number is missing")?.parse()?;
                 Vec::new()
             }
             "crawls" => self.event(Event::TargetCrawls),
             "quiet" => self.event(Event::TargetQuiet),
             "gone" => self.event(Event::CallerGone),
             "wait" => {
-                let span: u64 = args.next_pos().ok_or("wait MS")?.parse()?;
+                let span: u64 = args.next_pos().ok_or("wait: milliseconds are missing")?.parse()?;
                 self.now += span;
                 self.event(Event::Tick { heard: 0 })
             }
@@ -241,15 +259,15 @@
             other => return Err(format!("unknown command {other}").into()),
         };
         args.reject_next()?;
-        Ok(actions.iter().map(|it| line(it) + "\n").collect())
+        Ok(actions.iter().map(|it| describe(it) + "\n").collect())
     }
 }
 
 #[test]
 fn verify_scripts() {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scripts");
-    for file in std::fs::read_dir(dir).expect("scripts") {
-        let path = file.expect("a file").path();
+    for file in std::fs::read_dir(dir).expect("the directory of scripts is readable") {
+        let path = file.expect("the directory entry is readable").path();
         goldenscript::run(&mut World::open(), &path)
             .unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
