--- a/crates/sablepass-core/tests/gate.rs
+++ b/crates/sablepass-core/tests/gate.rs
@@ -10,12 +10,12 @@
 use sablepass_core::reason::Refusal;
 use sablepass_core::rendezvous;
 
-const KEEP: u64 = 10_000;
-const HANDOVER: u64 = 1_000;
+const KEEP_MS: u64 = 10_000;
+const HANDOVER_MS: u64 = 1_000;
 
 fn gate(started: u64) -> Gate {
-    let once = once::Options { keep: KEEP, ..once::Options::default() };
-    let options = Options { handover: HANDOVER, once, ..Options::default() };
+    let once = once::Options { keep: KEEP_MS, ..once::Options::default() };
+    let options = Options { handover: HANDOVER_MS, once, ..Options::default() };
     Gate::open(options, Incarnation(1), "a", started)
 }
 
@@ -59,9 +59,9 @@
     assert_eq!(gate.dispatch(20_000, &dispatch(1, &key, None)), refuse(Refusal::NotOwner));
     // This agent owns the key from 20,000 on. The former owner may learn of that later.
     gate.declare(20_000, names(&["a"]));
-    let early = dispatch(2, &key, Some(20_000 + HANDOVER - 1));
+    let early = dispatch(2, &key, Some(20_000 + HANDOVER_MS - 1));
     assert_eq!(gate.dispatch(21_000, &early), refuse(Refusal::KeyUncertain));
-    let late = dispatch(3, &key, Some(20_000 + HANDOVER));
+    let late = dispatch(3, &key, Some(20_000 + HANDOVER_MS));
     assert_eq!(gate.dispatch(21_000, &late), Decision::Run);
 }
 
@@ -74,15 +74,15 @@
     gate.declare(0, names(&["a", "b"]));
     tick_until(&mut gate, 0, 20_000);
     gate.declare(20_000, names(&["a"]));
-    tick_until(&mut gate, 20_000, 20_000 + KEEP);
+    tick_until(&mut gate, 20_000, 20_000 + KEEP_MS);
     // The later change comes when the first one is just older than the retention of keys.
-    let now = 20_000 + KEEP + 1;
+    let now = 20_000 + KEEP_MS + 1;
     // Choose a new sibling that doesn't become the owner of this key.
     let keeps_owner =
         |it: &String| rendezvous::owner(&owner_key(&key), ["a", it].into_iter()) == Some("a");
     let sibling = (0..).map(|it| format!("x{it}")).find(keeps_owner).expect("a sibling");
     gate.declare(now, names(&["a", &sibling]));
-    let issued = 20_000 + HANDOVER - 1;
+    let issued = 20_000 + HANDOVER_MS - 1;
     let attempt = dispatch(1, &key, Some(issued));
     assert_eq!(gate.dispatch(now, &attempt), Decision::Refuse(Refusal::KeyUncertain));
 }
@@ -94,7 +94,7 @@
     let mut gate = gate(0);
     gate.declare(0, names(&["a", "b"]));
     tick_until(&mut gate, 0, 20_000);
-    let attempt = dispatch(1, &key(true), Some(20_000 + HANDOVER + 1));
+    let attempt = dispatch(1, &key(true), Some(20_000 + HANDOVER_MS + 1));
     assert_eq!(gate.dispatch(20_000, &attempt), Decision::Refuse(Refusal::KeyExpired));
 }
 
@@ -157,7 +157,7 @@
 
 #[test]
 fn verify_recorded_answers_are_bounded() {
-    let once = once::Options { keep: KEEP, answers: 150, ..once::Options::default() };
+    let once = once::Options { keep: KEEP_MS, answers: 150, ..once::Options::default() };
     let mut table = once::Table::open(once);
     let key = |it: u32| Key { customer: "c".to_owned(), text: it.to_string() };
     let answer = || Answer { status: 200, content_type: String::new(), body: vec![0; 100] };
@@ -171,9 +171,9 @@
     assert_eq!(table.start_key(&key(1), 1), lost);
     // The first answer is removed once its retention has ended.
     let later = AttemptId { request: RequestId(9), number: 1 };
-    table.start(KEEP + 1, later).expect("the attempt is not recorded yet");
+    table.start(KEEP_MS + 1, later).expect("the attempt is not recorded yet");
     assert_eq!(table.start_key(&key(2), 1), once::KeyVerdict::Run);
-    table.finish_key(KEEP + 1, &key(2), Some(answer()));
+    table.finish_key(KEEP_MS + 1, &key(2), Some(answer()));
     assert_eq!(table.start_key(&key(2), 1), once::KeyVerdict::Replay(answer()));
 }
 
@@ -192,6 +192,6 @@
     assert_eq!(gate.dispatch(resumed, &old), Decision::Refuse(Refusal::KeyUncertain));
     let undated = dispatch(2, &key, None);
     assert_eq!(gate.dispatch(resumed, &undated), Decision::Refuse(Refusal::KeyUncertain));
-    let fresh = dispatch(3, &key, Some(resumed + HANDOVER));
-    assert_eq!(gate.dispatch(resumed + HANDOVER, &fresh), Decision::Run);
+    let fresh = dispatch(3, &key, Some(resumed + HANDOVER_MS));
+    assert_eq!(gate.dispatch(resumed + HANDOVER_MS, &fresh), Decision::Run);
 }
