--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -124,9 +124,9 @@
         heard: Millis,
     },
     /// The target is so slow that it delays all requests of its group.
-    TargetCrawls,
+    TargetDegraded,
     /// The target's machine is unresponsive, and no part of this answer has arrived for a while.
-    TargetQuiet,
+    TargetUnresponsive,
     /// The request is blocked as a suspect: several targets terminated while they ran it.
     EndsTargets,
     /// The caller closed its connection.
@@ -339,8 +339,8 @@
                 self.last_heard = self.last_heard.max(heard);
                 self.on_tick(now, budget)
             }
-            Event::TargetCrawls => self.switch_target(now, Retry::SlowTarget, budget),
-            Event::TargetQuiet => self.switch_target(now, Retry::QuietTarget, budget),
+            Event::TargetDegraded => self.switch_target(now, Retry::SlowTarget, budget),
+            Event::TargetUnresponsive => self.switch_target(now, Retry::QuietTarget, budget),
             Event::EndsTargets => self.on_ends_targets(),
             Event::CallerGone => self.on_caller_gone(),
         }
--- a/crates/sablepass-core/tests/scenarios.rs
+++ b/crates/sablepass-core/tests/scenarios.rs
@@ -244,8 +244,8 @@
                 self.budget = args.next_pos().ok_or("budget: number is missing")?.parse()?;
                 Vec::new()
             }
-            "crawls" => self.event(Event::TargetCrawls),
-            "quiet" => self.event(Event::TargetQuiet),
+            "crawls" => self.event(Event::TargetDegraded),
+            "quiet" => self.event(Event::TargetUnresponsive),
             "gone" => self.event(Event::CallerGone),
             "wait" => {
                 let span: u64 = args.next_pos().ok_or("wait: milliseconds are missing")?.parse()?;
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -224,7 +224,7 @@
         slog::warn!(self.log, "target crawls"; "target" => target, "requests" => ids.len(),
             "moved" => moved);
         for id in ids.into_iter().filter(|_| moved) {
-            self.event(cx, id, 0, Event::TargetCrawls);
+            self.event(cx, id, 0, Event::TargetDegraded);
         }
     }
 
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -83,7 +83,7 @@
         let now = clock::now();
         let quiet = open.flight.target().is_some_and(|it| self.targets.is_quiet(it));
         if quiet && open.flight.is_silent(now) {
-            self.event(cx, id, 0, Event::TargetQuiet);
+            self.event(cx, id, 0, Event::TargetUnresponsive);
         }
         let Some(open) = self.open.get(&id) else {
             return;
