--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -104,7 +104,7 @@
         handles: Handles,
     ) -> Option<Self> {
         let Handles { mesh, target, parts, engine } = handles;
-        let gate = Gate::open(settings.gate(), me, &settings.node.name, clock::now());
+        let gate = Gate::new(settings.gate(), me, &settings.node.name, clock::now());
         let mut keeper = Self {
             gate,
             log,
--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -225,7 +225,7 @@
 
 impl Flight {
     /// Returns the initial state, which waits for a target.
-    pub fn open(options: Options, request: Request) -> Self {
+    pub fn new(options: Options, request: Request) -> Self {
         let splitter = request.resume.then(Splitter::default);
         Self {
             options,
--- a/crates/sablepass-core/src/gate.rs
+++ b/crates/sablepass-core/src/gate.rs
@@ -90,12 +90,12 @@
 
 impl Gate {
     /// Returns the gate of target `name` for an agent of `incarnation` that starts at `now`.
-    pub fn open(options: Options, incarnation: Incarnation, name: &str, now: Millis) -> Self {
+    pub fn new(options: Options, incarnation: Incarnation, name: &str, now: Millis) -> Self {
         Self {
             options,
             incarnation,
             started: now,
-            table: once::Table::open(options.once),
+            table: once::Table::new(options.once),
             running: 0,
             leaving: false,
             name: name.to_owned(),
--- a/crates/sablepass-core/src/once.rs
+++ b/crates/sablepass-core/src/once.rs
@@ -113,7 +113,7 @@
 
 impl Table {
     /// Returns an empty table.
-    pub fn open(options: Options) -> Self {
+    pub fn new(options: Options) -> Self {
         Self {
             options,
             attempts: HashMap::new(),
--- a/crates/sablepass-core/tests/chaos.rs
+++ b/crates/sablepass-core/tests/chaos.rs
@@ -131,7 +131,7 @@
     fn start_agent(&mut self, index: usize, now: u64) -> Agent {
         self.incarnations += 1;
         let incarnation = Incarnation(self.incarnations);
-        let mut gate = Gate::open(options(self.mutation), incarnation, TARGETS[index], now);
+        let mut gate = Gate::new(options(self.mutation), incarnation, TARGETS[index], now);
         gate.declare(now, self.owners.clone());
         Agent { gate, incarnation, paused_until: 0, running: Vec::new(), answers: HashMap::new() }
     }
@@ -171,7 +171,7 @@
             resume: false,
             attempts: 4,
         };
-        let flight = Flight::open(flight::Options::default(), request);
+        let flight = Flight::new(flight::Options::default(), request);
         self.requests.push(Request {
             flight,
             key,
--- a/crates/sablepass-core/tests/gate.rs
+++ b/crates/sablepass-core/tests/gate.rs
@@ -16,7 +16,7 @@
 fn gate(started: u64) -> Gate {
     let once = once::Options { keep: KEEP_MS, ..once::Options::default() };
     let options = Options { handover: HANDOVER_MS, once, ..Options::default() };
-    Gate::open(options, Incarnation(1), "a", started)
+    Gate::new(options, Incarnation(1), "a", started)
 }
 
 /// Ticks the gate from `from` to `to`, often enough that it detects no suspension.
@@ -149,7 +149,7 @@
 #[test]
 fn verify_full_table_refuses_new_attempts() {
     let once = once::Options { attempts: 1, ..once::Options::default() };
-    let mut gate = Gate::open(Options { once, ..Options::default() }, Incarnation(1), "a", 0);
+    let mut gate = Gate::new(Options { once, ..Options::default() }, Incarnation(1), "a", 0);
     let safe = |it| Dispatch { unsafe_repeat: false, ..dispatch(it, &key(true), None) };
     assert_eq!(gate.dispatch(1, &safe(1)), Decision::Run);
     assert_eq!(gate.dispatch(2, &safe(2)), Decision::Refuse(Refusal::OnceTableFull));
@@ -158,7 +158,7 @@
 #[test]
 fn verify_recorded_answers_are_bounded() {
     let once = once::Options { keep: KEEP_MS, answers: 150, ..once::Options::default() };
-    let mut table = once::Table::open(once);
+    let mut table = once::Table::new(once);
     let key = |it: u32| Key { customer: "c".to_owned(), text: it.to_string() };
     let answer = || Answer { status: 200, content_type: String::new(), body: vec![0; 100] };
     for it in 0..2 {
--- a/crates/sablepass-core/tests/scenarios.rs
+++ b/crates/sablepass-core/tests/scenarios.rs
@@ -75,7 +75,7 @@
         self.last_incarnation += 1;
         let incarnation = Incarnation(self.last_incarnation);
         self.gates.entry(name.to_owned()).or_insert_with(|| {
-            let mut gate = Gate::open(gate::Options::default(), incarnation, name, 0);
+            let mut gate = Gate::new(gate::Options::default(), incarnation, name, 0);
             gate.declare(0, vec![name.to_owned()]);
             (gate, incarnation)
         })
@@ -171,7 +171,7 @@
                     attempts: 4,
                 };
                 self.key = key;
-                self.flight = Some(Flight::open(flight::Options::default(), request));
+                self.flight = Some(Flight::new(flight::Options::default(), request));
                 vec![Action::Dispatch]
             }
             "send" => {
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -240,7 +240,7 @@
         stream: true,
         resume: true,
     };
-    Flight::open(Options::default(), request)
+    Flight::new(Options::default(), request)
 }
 
 fn on(flight: &mut Flight, event: Event) -> Vec<Action> {
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -131,7 +131,7 @@
         let step = Step::Admitted { customer: it.customer.clone(), serves: it.served.1.clone() };
         self.traces.add(now, run.id, step);
         Open {
-            flight: Flight::open(self.settings.flight(), request),
+            flight: Flight::new(self.settings.flight(), request),
             customer: it.customer,
             told: it.told,
             owner: key.and_then(|key| self.targets.owner(&it.served, &key)),
