--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -28,17 +28,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Maximum size in bytes of an answer that is buffered until it is complete. Default 4 MiB.
-    pub answer: usize,
+    pub max_answer_bytes: usize,
     /// Time after which a probe without an answer fails the request. Default 5 s.
-    pub probe: Millis,
+    pub probe_timeout: Millis,
     /// Time without any message from a target's agent after which a safe request is retried at
     /// another target. Default 10 s.
-    pub stall: Millis,
+    pub stall_timeout: Millis,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { answer: 4 << 20, probe: 5_000, stall: 10_000 }
+        Self { max_answer_bytes: 4 << 20, probe_timeout: 5_000, stall_timeout: 10_000 }
     }
 }
 
@@ -286,7 +286,7 @@
     pub fn due(&self, now: Millis, heard: Millis) -> bool {
         let late = now >= self.request.deadline;
         match self.state {
-            State::Probing { since } => late || now >= since + self.options.probe,
+            State::Probing { since } => late || now >= since + self.options.probe_timeout,
             State::Sent => late || self.is_stalled(now, heard),
             State::Choosing => late,
             State::Ended => false,
@@ -433,7 +433,7 @@
         if self.request.stream {
             return vec![Action::Deliver(data)];
         }
-        if self.body.len() + data.len() > self.options.answer {
+        if self.body.len() + data.len() > self.options.max_answer_bytes {
             let mut actions = vec![Action::Cancel(self.attempt())];
             actions.extend(self.fail(Refusal::AnswerTooLarge, Ran::Ran));
             return actions;
@@ -555,7 +555,7 @@
             return self.on_deadline();
         }
         match self.state {
-            State::Probing { since } if now >= since + self.options.probe => {
+            State::Probing { since } if now >= since + self.options.probe_timeout => {
                 self.fail(Refusal::ContactLost, Ran::Unknown)
             }
             State::Sent if self.is_stalled(now, self.last_heard) => {
@@ -573,7 +573,7 @@
     /// requests wait until their deadline.
     fn is_stalled(&self, now: Millis, heard: Millis) -> bool {
         let retryable = !self.request.unsafe_repeat && !self.is_committed();
-        retryable && now >= self.last_heard.max(heard) + self.options.stall
+        retryable && now >= self.last_heard.max(heard) + self.options.stall_timeout
     }
 
     /// Cancels the current attempt and retries the request at another target, if it may be
--- a/crates/sablepass-entry/src/settings.rs
+++ b/crates/sablepass-entry/src/settings.rs
@@ -135,7 +135,7 @@
 }
 
 fn default_stall() -> u64 {
-    flight::Options::default().stall
+    flight::Options::default().stall_timeout
 }
 
 fn default_stands() -> u64 {
@@ -143,7 +143,7 @@
 }
 
 fn default_probe() -> u64 {
-    flight::Options::default().probe
+    flight::Options::default().probe_timeout
 }
 
 fn default_retry_ratio() -> f64 {
@@ -192,7 +192,11 @@
 impl Settings {
     /// Options of the request state machine.
     pub fn flight(&self) -> flight::Options {
-        flight::Options { stall: self.stall, probe: self.probe, ..flight::Options::default() }
+        flight::Options {
+            stall_timeout: self.stall,
+            probe_timeout: self.probe,
+            ..flight::Options::default()
+        }
     }
 
     /// Options of admission.
