--- a/crates/sablepass-agent/src/settings.rs
+++ b/crates/sablepass-agent/src/settings.rs
@@ -62,7 +62,7 @@
 }
 
 fn default_limit() -> usize {
-    gate::Options::default().limit
+    gate::Options::default().max_requests
 }
 
 fn default_heartbeat() -> u64 {
@@ -74,7 +74,7 @@
 }
 
 fn default_handover() -> u64 {
-    gate::Options::default().handover
+    gate::Options::default().handover_margin
 }
 
 fn default_read() -> u64 {
@@ -107,7 +107,7 @@
     /// Options of the gate.
     pub fn gate(&self) -> gate::Options {
         let once = once::Options { keep: self.keep, ..once::Options::default() };
-        let (limit, handover) = (self.limit, self.handover);
-        gate::Options { limit, handover, once, ..gate::Options::default() }
+        let (max_requests, handover_margin) = (self.limit, self.handover);
+        gate::Options { max_requests, handover_margin, once, ..gate::Options::default() }
     }
 }
--- a/crates/sablepass-core/src/gate.rs
+++ b/crates/sablepass-core/src/gate.rs
@@ -16,21 +16,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Maximum number of requests that run or wait at the target. Default 256.
-    pub limit: usize,
+    pub max_requests: usize,
     /// Margin after a change of key owners in which the former owner may still run keys: the
     /// longest delay until all agents apply the change, plus the clock skew of callers.
     /// Default 10 s: agents apply a change within 7 s.
-    pub handover: Millis,
+    pub handover_margin: Millis,
     /// Longest interval between two ticks. After a longer one the process is taken to have been
-    /// suspended and to have missed changes of key owners. Default 3 s: well under `handover`.
-    pub pause: Millis,
+    /// suspended and to have missed changes of key owners. Default 3 s: well under `handover_margin`.
+    pub max_tick_interval: Millis,
     /// Limits of the at-most-once table.
     pub once: once::Options,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { limit: 256, handover: 10_000, pause: 3_000, once: once::Options::default() }
+        Self {
+            max_requests: 256,
+            handover_margin: 10_000,
+            max_tick_interval: 3_000,
+            once: once::Options::default(),
+        }
     }
 }
 
@@ -133,16 +138,16 @@
         let since = if self.owner_sets.is_empty() { self.started } else { now };
         self.owner_sets.push(OwnerSet { since, names });
         // A set is dropped once no acceptable key can have been created while it was in force.
-        let oldest = now.saturating_sub(self.options.once.keep + self.options.handover);
+        let oldest = now.saturating_sub(self.options.once.keep + self.options.handover_margin);
         while self.owner_sets.len() > 1 && self.owner_sets[1].since < oldest {
             self.owner_sets.remove(0);
         }
     }
 
     /// Records that the process is running, to detect that it was suspended. To be called at
-    /// intervals well below [`Options::pause`].
+    /// intervals well below [`Options::max_tick_interval`].
     pub fn tick(&mut self, now: Millis) {
-        if now > self.last_tick + self.options.pause {
+        if now > self.last_tick + self.options.max_tick_interval {
             // Keys may have had other owners while this process was suspended, so its
             // ownership counts from now on only.
             self.owner_sets.drain(..self.owner_sets.len().saturating_sub(1));
@@ -204,21 +209,21 @@
         if now >= dispatch.deadline {
             return Err(Refusal::DeadlinePassed);
         }
-        if self.running >= self.options.limit {
+        if self.running >= self.options.max_requests {
             return Err(Refusal::AgentLimit);
         }
         Ok(())
     }
 
     /// Accepts a key only if no other process can have run it: this agent owns it by the
-    /// declarations that it knows, and has owned it since `handover` before the key was created.
+    /// declarations that it knows, and has owned it since `handover_margin` before the key was created.
     /// A key without a creation time is taken to be as old as keys may be.
     fn check_key(&mut self, now: Millis, dispatch: &Dispatch, key: &Key) -> KeyVerdict {
         if self.table.has_key(key) {
             return self.table.start_key(key, dispatch.body_hash);
         }
         let oldest = now.saturating_sub(self.options.once.keep);
-        let newest = now + self.options.handover;
+        let newest = now + self.options.handover_margin;
         if dispatch.issued.is_some_and(|at| at < oldest || at > newest) {
             return KeyVerdict::Refuse(Refusal::KeyExpired);
         }
@@ -226,7 +231,7 @@
         if !self.owns(key) {
             return KeyVerdict::Refuse(Refusal::NotOwner);
         }
-        if issued < self.owned_since(key).saturating_add(self.options.handover) {
+        if issued < self.owned_since(key).saturating_add(self.options.handover_margin) {
             return KeyVerdict::Refuse(Refusal::KeyUncertain);
         }
         self.table.start_key(key, dispatch.body_hash)
--- a/crates/sablepass-core/tests/chaos.rs
+++ b/crates/sablepass-core/tests/chaos.rs
@@ -100,9 +100,9 @@
 
 fn options(mutation: Mutation) -> gate::Options {
     let keep = if mutation == Mutation::SkipsHandoverMargin { 0 } else { KEEP_MS };
-    let handover = if mutation == Mutation::SkipsHandoverMargin { 0 } else { HANDOVER_MS };
+    let handover_margin = if mutation == Mutation::SkipsHandoverMargin { 0 } else { HANDOVER_MS };
     let once = once::Options { keep, ..once::Options::default() };
-    gate::Options { handover, once, ..gate::Options::default() }
+    gate::Options { handover_margin, once, ..gate::Options::default() }
 }
 
 impl World {
--- a/crates/sablepass-core/tests/gate.rs
+++ b/crates/sablepass-core/tests/gate.rs
@@ -15,7 +15,7 @@
 
 fn gate(started: u64) -> Gate {
     let once = once::Options { keep: KEEP_MS, ..once::Options::default() };
-    let options = Options { handover: HANDOVER_MS, once, ..Options::default() };
+    let options = Options { handover_margin: HANDOVER_MS, once, ..Options::default() };
     Gate::new(options, Incarnation(1), "a", started)
 }
 
