--- a/crates/sablepass-agent/src/settings.rs
+++ b/crates/sablepass-agent/src/settings.rs
@@ -70,7 +70,7 @@
 }
 
 fn default_keep() -> u64 {
-    once::Options::default().keep
+    once::Options::default().retention
 }
 
 fn default_handover() -> u64 {
@@ -106,7 +106,7 @@
 impl Settings {
     /// Options of the gate.
     pub fn gate(&self) -> gate::Options {
-        let once = once::Options { keep: self.keep, ..once::Options::default() };
+        let once = once::Options { retention: self.keep, ..once::Options::default() };
         let (max_requests, handover_margin) = (self.limit, self.handover);
         gate::Options { max_requests, handover_margin, once, ..gate::Options::default() }
     }
--- a/crates/sablepass-core/src/gate.rs
+++ b/crates/sablepass-core/src/gate.rs
@@ -22,7 +22,8 @@
     /// Default 10 s: agents apply a change within 7 s.
     pub handover_margin: Millis,
     /// Longest interval between two ticks. After a longer one the process is taken to have been
-    /// suspended and to have missed changes of key owners. Default 3 s: well under `handover_margin`.
+    /// suspended and to have missed changes of key owners. Default 3 s: well under
+    /// `handover_margin`.
     pub max_tick_interval: Millis,
     /// Limits of the at-most-once table.
     pub once: once::Options,
@@ -138,7 +139,7 @@
         let since = if self.owner_sets.is_empty() { self.started } else { now };
         self.owner_sets.push(OwnerSet { since, names });
         // A set is dropped once no acceptable key can have been created while it was in force.
-        let oldest = now.saturating_sub(self.options.once.keep + self.options.handover_margin);
+        let oldest = now.saturating_sub(self.options.once.retention + self.options.handover_margin);
         while self.owner_sets.len() > 1 && self.owner_sets[1].since < oldest {
             self.owner_sets.remove(0);
         }
@@ -216,13 +217,13 @@
     }
 
     /// Accepts a key only if no other process can have run it: this agent owns it by the
-    /// declarations that it knows, and has owned it since `handover_margin` before the key was created.
-    /// A key without a creation time is taken to be as old as keys may be.
+    /// declarations that it knows, and has owned it since `handover_margin` before the key was
+    /// created. A key without a creation time is taken to be as old as keys may be.
     fn check_key(&mut self, now: Millis, dispatch: &Dispatch, key: &Key) -> KeyVerdict {
         if self.table.has_key(key) {
             return self.table.start_key(key, dispatch.body_hash);
         }
-        let oldest = now.saturating_sub(self.options.once.keep);
+        let oldest = now.saturating_sub(self.options.once.retention);
         let newest = now + self.options.handover_margin;
         if dispatch.issued.is_some_and(|at| at < oldest || at > newest) {
             return KeyVerdict::Refuse(Refusal::KeyExpired);
--- a/crates/sablepass-core/src/once.rs
+++ b/crates/sablepass-core/src/once.rs
@@ -18,26 +18,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Retention of attempts and of keys, the latter from the end of their request. Default 600 s.
-    pub keep: Millis,
+    pub retention: Millis,
     /// Maximum number of recorded attempts. Default 200,000.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Maximum number of recorded keys. Default 20,000.
-    pub keys: usize,
+    pub max_keys: usize,
     /// Maximum size in bytes of an answer that is recorded for a key. Default 16 KiB.
-    pub answer: usize,
+    pub max_answer_bytes: usize,
     /// Maximum size in bytes of all recorded answers together. Default 16 MiB. An answer above
     /// a limit is not recorded, but its key does not run again either.
-    pub answers: usize,
+    pub max_total_answer_bytes: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            keep: 600_000,
-            attempts: 200_000,
-            keys: 20_000,
-            answer: 16 * 1024,
-            answers: 16 << 20,
+            retention: 600_000,
+            max_attempts: 200_000,
+            max_keys: 20_000,
+            max_answer_bytes: 16 * 1024,
+            max_total_answer_bytes: 16 << 20,
         }
     }
 }
@@ -148,7 +148,7 @@
             Some(Mark::Running | Mark::Finished) => return Err(Refusal::Duplicate),
             None => {}
         }
-        if self.attempts.len() >= self.options.attempts {
+        if self.attempts.len() >= self.options.max_attempts {
             return Err(Refusal::OnceTableFull);
         }
         self.insert_attempt(now, attempt, Mark::Running);
@@ -175,7 +175,7 @@
     /// Decides on a request with an idempotency key, and records the key if the request may run.
     pub fn start_key(&mut self, key: &Key, body_hash: u64) -> KeyVerdict {
         let Some(record) = self.keys.get(key) else {
-            if self.keys.len() >= self.options.keys {
+            if self.keys.len() >= self.options.max_keys {
                 return KeyVerdict::Refuse(Refusal::OnceTableFull);
             }
             let record = KeyRecord { body_hash, state: KeyState::Running };
@@ -203,7 +203,10 @@
         let Some(record) = self.keys.get_mut(key) else {
             return;
         };
-        let room = self.options.answer.min(self.options.answers - self.answer_bytes);
+        let room = self
+            .options
+            .max_answer_bytes
+            .min(self.options.max_total_answer_bytes - self.answer_bytes);
         let kept = answer.filter(|it| it.body.len() <= room);
         self.answer_bytes += kept.as_ref().map_or(0, |it| it.body.len());
         record.state = KeyState::Finished(kept);
@@ -223,7 +226,7 @@
     /// Removes attempts and keys whose retention has ended. The retention of a running attempt is
     /// renewed, so that it is never removed.
     fn remove_expired(&mut self, now: Millis) {
-        let oldest = now.saturating_sub(self.options.keep);
+        let oldest = now.saturating_sub(self.options.retention);
         while let Some(&(at, attempt)) = self.attempt_order.front() {
             if at >= oldest {
                 break;
--- a/crates/sablepass-core/tests/chaos.rs
+++ b/crates/sablepass-core/tests/chaos.rs
@@ -25,7 +25,7 @@
 const TARGETS: [&str; 4] = ["a", "b", "c", "d"];
 const KEY_COUNT: u64 = 6;
 const REQUEST_COUNT: u64 = 40;
-const KEEP_MS: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 const HANDOVER_MS: u64 = 500;
 const DURATION_MS: u64 = 60_000;
 
@@ -99,9 +99,9 @@
 }
 
 fn options(mutation: Mutation) -> gate::Options {
-    let keep = if mutation == Mutation::SkipsHandoverMargin { 0 } else { KEEP_MS };
+    let retention = if mutation == Mutation::SkipsHandoverMargin { 0 } else { RETENTION_MS };
     let handover_margin = if mutation == Mutation::SkipsHandoverMargin { 0 } else { HANDOVER_MS };
-    let once = once::Options { keep, ..once::Options::default() };
+    let once = once::Options { retention, ..once::Options::default() };
     gate::Options { handover_margin, once, ..gate::Options::default() }
 }
 
@@ -420,7 +420,7 @@
             // retention of its record.
             let timed =
                 self.requests.iter().any(|it| it.key.as_ref() == Some(key) && it.issued.is_some());
-            let again = runs.windows(2).any(|it| timed || it[1].0 < it[0].1 + KEEP_MS);
+            let again = runs.windows(2).any(|it| timed || it[1].0 < it[0].1 + RETENTION_MS);
             if again {
                 return Err(format!("key {key} ran at {runs:?}"));
             }
--- a/crates/sablepass-core/tests/gate.rs
+++ b/crates/sablepass-core/tests/gate.rs
@@ -10,11 +10,11 @@
 use sablepass_core::reason::Refusal;
 use sablepass_core::rendezvous;
 
-const KEEP_MS: u64 = 10_000;
+const RETENTION_MS: u64 = 10_000;
 const HANDOVER_MS: u64 = 1_000;
 
 fn gate(started: u64) -> Gate {
-    let once = once::Options { keep: KEEP_MS, ..once::Options::default() };
+    let once = once::Options { retention: RETENTION_MS, ..once::Options::default() };
     let options = Options { handover_margin: HANDOVER_MS, once, ..Options::default() };
     Gate::new(options, Incarnation(1), "a", started)
 }
@@ -74,9 +74,9 @@
     gate.declare(0, names(&["a", "b"]));
     tick_until(&mut gate, 0, 20_000);
     gate.declare(20_000, names(&["a"]));
-    tick_until(&mut gate, 20_000, 20_000 + KEEP_MS);
+    tick_until(&mut gate, 20_000, 20_000 + RETENTION_MS);
     // The later change comes when the first one is just older than the retention of keys.
-    let now = 20_000 + KEEP_MS + 1;
+    let now = 20_000 + RETENTION_MS + 1;
     // Choose a new sibling that doesn't become the owner of this key.
     let keeps_owner =
         |it: &String| rendezvous::owner(&owner_key(&key), ["a", it].into_iter()) == Some("a");
@@ -148,7 +148,7 @@
 
 #[test]
 fn verify_full_table_refuses_new_attempts() {
-    let once = once::Options { attempts: 1, ..once::Options::default() };
+    let once = once::Options { max_attempts: 1, ..once::Options::default() };
     let mut gate = Gate::new(Options { once, ..Options::default() }, Incarnation(1), "a", 0);
     let safe = |it| Dispatch { unsafe_repeat: false, ..dispatch(it, &key(true), None) };
     assert_eq!(gate.dispatch(1, &safe(1)), Decision::Run);
@@ -157,7 +157,11 @@
 
 #[test]
 fn verify_recorded_answers_are_bounded() {
-    let once = once::Options { keep: KEEP_MS, answers: 150, ..once::Options::default() };
+    let once = once::Options {
+        retention: RETENTION_MS,
+        max_total_answer_bytes: 150,
+        ..once::Options::default()
+    };
     let mut table = once::Table::new(once);
     let key = |it: u32| Key { customer: "c".to_owned(), text: it.to_string() };
     let answer = || Answer { status: 200, content_type: String::new(), body: vec![0; 100] };
@@ -171,9 +175,9 @@
     assert_eq!(table.start_key(&key(1), 1), lost);
     // The first answer is removed once its retention has ended.
     let later = AttemptId { request: RequestId(9), number: 1 };
-    table.start(KEEP_MS + 1, later).expect("the attempt is not recorded yet");
+    table.start(RETENTION_MS + 1, later).expect("the attempt is not recorded yet");
     assert_eq!(table.start_key(&key(2), 1), once::KeyVerdict::Run);
-    table.finish_key(KEEP_MS + 1, &key(2), Some(answer()));
+    table.finish_key(RETENTION_MS + 1, &key(2), Some(answer()));
     assert_eq!(table.start_key(&key(2), 1), once::KeyVerdict::Replay(answer()));
 }
 
--- a/crates/sablepass-load/src/capacity.rs
+++ b/crates/sablepass-load/src/capacity.rs
@@ -246,7 +246,7 @@
 
 fn once_table(count: u64) {
     let before = memory();
-    let options = once::Options { attempts: count as usize, ..once::Options::default() };
+    let options = once::Options { max_attempts: count as usize, ..once::Options::default() };
     let mut table = Table::new(options);
     let start = Instant::now();
     for it in 0..count {
