--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -11,7 +11,7 @@
 use sablepass_core::catalogue::Catalogue;
 use sablepass_core::gate::{Decision, End, Gate};
 use sablepass_core::id::{AttemptId, Incarnation, Millis};
-use sablepass_core::once::{Answer, Key, Mark};
+use sablepass_core::once::{Answer, AttemptState, Key};
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::{Ignored, Refusal};
 use sablepass_edge::clock;
@@ -356,9 +356,9 @@
     }
 
     fn probe(&mut self, peer: PeerKey, attempt: AttemptId) {
-        let mark = self.gate.probe(clock::now(), attempt);
-        self.send(Some(peer), convert::verdict(attempt, mark));
-        if mark == Mark::Blocked {
+        let state = self.gate.probe(clock::now(), attempt);
+        self.send(Some(peer), convert::verdict(attempt, state));
+        if state == AttemptState::Blocked {
             return;
         }
         let Some(active) = self.active.get_mut(&attempt).filter(|it| it.whole) else {
--- a/crates/sablepass-core/src/gate.rs
+++ b/crates/sablepass-core/src/gate.rs
@@ -8,7 +8,7 @@
 //! with the same idempotency key may have run.
 
 use crate::id::{AttemptId, Incarnation, Millis};
-use crate::once::{self, Key, KeyVerdict, Mark};
+use crate::once::{self, AttemptState, Key, KeyVerdict};
 use crate::reason::Refusal;
 use crate::rendezvous;
 
@@ -196,8 +196,8 @@
     }
 
     fn check_dispatch(&self, now: Millis, dispatch: &Dispatch) -> Result<(), Refusal> {
-        match self.table.mark(dispatch.attempt) {
-            Some(Mark::Blocked) => return Err(Refusal::Blocked),
+        match self.table.attempt_state(dispatch.attempt) {
+            Some(AttemptState::Blocked) => return Err(Refusal::Blocked),
             Some(_) => return Err(Refusal::Duplicate),
             None => {}
         }
@@ -276,7 +276,7 @@
 
     /// Answers a probe with the state of the attempt. An unknown attempt is refused from now on,
     /// should its dispatch still arrive.
-    pub fn probe(&mut self, now: Millis, attempt: AttemptId) -> Mark {
+    pub fn probe(&mut self, now: Millis, attempt: AttemptId) -> AttemptState {
         self.table.block(now, attempt)
     }
 }
--- a/crates/sablepass-core/src/once.rs
+++ b/crates/sablepass-core/src/once.rs
@@ -64,7 +64,7 @@
 
 /// State of a recorded attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum AttemptState {
     /// The attempt has not run and is refused if it arrives.
     Blocked,
     /// The attempt is running.
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct Table {
     options: Options,
-    attempts: HashMap<AttemptId, Mark>,
+    attempts: HashMap<AttemptId, AttemptState>,
     /// Attempts by the time from which their retention counts, oldest first.
     attempt_order: VecDeque<(Millis, AttemptId)>,
     keys: HashMap<Key, KeyRecord>,
@@ -125,7 +125,7 @@
     }
 
     /// Returns the state of `attempt`, if it is recorded.
-    pub fn mark(&self, attempt: AttemptId) -> Option<Mark> {
+    pub fn attempt_state(&self, attempt: AttemptId) -> Option<AttemptState> {
         self.attempts.get(&attempt).copied()
     }
 
@@ -143,33 +143,33 @@
     /// attempt while the table is full.
     pub fn start(&mut self, now: Millis, attempt: AttemptId) -> Result<(), Refusal> {
         self.remove_expired(now);
-        match self.mark(attempt) {
-            Some(Mark::Blocked) => return Err(Refusal::Blocked),
-            Some(Mark::Running | Mark::Finished) => return Err(Refusal::Duplicate),
+        match self.attempt_state(attempt) {
+            Some(AttemptState::Blocked) => return Err(Refusal::Blocked),
+            Some(AttemptState::Running | AttemptState::Finished) => return Err(Refusal::Duplicate),
             None => {}
         }
         if self.attempts.len() >= self.options.max_attempts {
             return Err(Refusal::OnceTableFull);
         }
-        self.insert_attempt(now, attempt, Mark::Running);
+        self.insert_attempt(now, attempt, AttemptState::Running);
         Ok(())
     }
 
     /// Records that `attempt` has finished.
     pub fn finish(&mut self, attempt: AttemptId) {
-        if let Some(mark) = self.attempts.get_mut(&attempt) {
-            *mark = Mark::Finished;
+        if let Some(state) = self.attempts.get_mut(&attempt) {
+            *state = AttemptState::Finished;
         }
     }
 
     /// Returns the state of `attempt`. An attempt that is not recorded is blocked from now on.
-    pub fn block(&mut self, now: Millis, attempt: AttemptId) -> Mark {
+    pub fn block(&mut self, now: Millis, attempt: AttemptId) -> AttemptState {
         self.remove_expired(now);
-        if let Some(mark) = self.mark(attempt) {
-            return mark;
+        if let Some(state) = self.attempt_state(attempt) {
+            return state;
         }
-        self.insert_attempt(now, attempt, Mark::Blocked);
-        Mark::Blocked
+        self.insert_attempt(now, attempt, AttemptState::Blocked);
+        AttemptState::Blocked
     }
 
     /// Decides on a request with an idempotency key, and records the key if the request may run.
@@ -218,8 +218,8 @@
         self.keys.remove(key);
     }
 
-    fn insert_attempt(&mut self, now: Millis, attempt: AttemptId, mark: Mark) {
-        self.attempts.insert(attempt, mark);
+    fn insert_attempt(&mut self, now: Millis, attempt: AttemptId, state: AttemptState) {
+        self.attempts.insert(attempt, state);
         self.attempt_order.push_back((now, attempt));
     }
 
@@ -232,7 +232,7 @@
                 break;
             }
             self.attempt_order.pop_front();
-            if self.attempts.get(&attempt) == Some(&Mark::Running) {
+            if self.attempts.get(&attempt) == Some(&AttemptState::Running) {
                 self.attempt_order.push_back((now, attempt));
                 continue;
             }
--- a/crates/sablepass-core/tests/chaos.rs
+++ b/crates/sablepass-core/tests/chaos.rs
@@ -18,7 +18,7 @@
 use sablepass_core::flight::{self, Action, Event, Flight, Head, Verdict};
 use sablepass_core::gate::{self, Decision, End, Gate};
 use sablepass_core::id::{AttemptId, Incarnation, RequestId};
-use sablepass_core::once::{self, Answer, Key, Mark};
+use sablepass_core::once::{self, Answer, AttemptState, Key};
 use sablepass_core::outcome::Ran;
 use sablepass_core::rendezvous;
 
@@ -276,11 +276,11 @@
     }
 
     fn on_probe(&mut self, agent: usize, attempt: AttemptId) {
-        let mark = self.agents[agent].gate.probe(self.now, attempt);
-        let verdict = match mark {
-            Mark::Blocked => Verdict::Blocked,
-            Mark::Running => Verdict::Running,
-            Mark::Finished => Verdict::Finished,
+        let state = self.agents[agent].gate.probe(self.now, attempt);
+        let verdict = match state {
+            AttemptState::Blocked => Verdict::Blocked,
+            AttemptState::Running => Verdict::Running,
+            AttemptState::Finished => Verdict::Finished,
         };
         self.send(agent, Message::Answer(attempt, Event::Verdict(verdict)));
         if let Some(body) = self.agents[agent].answers.get(&attempt).cloned() {
--- a/crates/sablepass-core/tests/scenarios.rs
+++ b/crates/sablepass-core/tests/scenarios.rs
@@ -32,7 +32,7 @@
 use sablepass_core::flight::{self, Action, Event, Flight, Head, Verdict};
 use sablepass_core::gate::{self, Decision, Gate};
 use sablepass_core::id::{Incarnation, RequestId};
-use sablepass_core::once::{Key, Mark};
+use sablepass_core::once::{AttemptState, Key};
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
 
@@ -130,9 +130,9 @@
         let flight = self.flight.as_ref().expect("`open` is missing");
         let (attempt, now, name) = (flight.attempt(), self.now, self.target.clone());
         let verdict = match self.gate(&name).0.probe(now, attempt) {
-            Mark::Blocked => Verdict::Blocked,
-            Mark::Running => Verdict::Running,
-            Mark::Finished => Verdict::Finished,
+            AttemptState::Blocked => Verdict::Blocked,
+            AttemptState::Running => Verdict::Running,
+            AttemptState::Finished => Verdict::Finished,
         };
         self.event(Event::Verdict(verdict))
     }
--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -11,7 +11,7 @@
 use sablepass_core::flight::{Event, Head, Verdict};
 use sablepass_core::id::{AttemptId, Incarnation, RequestId};
 use sablepass_core::membership::Pace;
-use sablepass_core::once::{Key, Mark};
+use sablepass_core::once::{AttemptState, Key};
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
 use sablepass_core::revision::Revision;
@@ -124,11 +124,11 @@
 }
 
 /// The message of a probe's answer.
-pub fn verdict(it: AttemptId, mark: Mark) -> Body {
-    let verdict = match mark {
-        Mark::Blocked => 0,
-        Mark::Running => 1,
-        Mark::Finished => 2,
+pub fn verdict(it: AttemptId, state: AttemptState) -> Body {
+    let verdict = match state {
+        AttemptState::Blocked => 0,
+        AttemptState::Running => 1,
+        AttemptState::Finished => 2,
     };
     Body::Verdict(wire::Verdict { request: request_bytes(it.request), attempt: it.number, verdict })
 }
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -10,7 +10,7 @@
 use sablepass_core::flight::{Event, Verdict};
 use sablepass_core::id::{AttemptId, Life, RequestId};
 use sablepass_core::limits::{Rate, Turn};
-use sablepass_core::once::Mark;
+use sablepass_core::once::AttemptState;
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
 use sablepass_core::revision::Revision;
@@ -99,9 +99,9 @@
     let (_, event) = read(convert::failed(ATTEMPT, failure));
     assert!(matches!(event, Event::Failed(it) if it == failure));
     for (mark, verdict) in [
-        (Mark::Blocked, Verdict::Blocked),
-        (Mark::Running, Verdict::Running),
-        (Mark::Finished, Verdict::Finished),
+        (AttemptState::Blocked, Verdict::Blocked),
+        (AttemptState::Running, Verdict::Running),
+        (AttemptState::Finished, Verdict::Finished),
     ] {
         let (_, event) = read(convert::verdict(ATTEMPT, mark));
         assert!(matches!(event, Event::Verdict(it) if it == verdict));
