--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::gate::{Decision, End, Gate};
+use sablepass_core::gate::{Completion, Decision, Gate};
 use sablepass_core::id::{AttemptId, Incarnation, Millis};
 use sablepass_core::once::{Answer, AttemptState, Key};
 use sablepass_core::outcome::{Failure, Ran};
@@ -406,15 +406,15 @@
 }
 
 /// How an attempt ended, for the gate: a kept answer must be whole.
-fn end_of(active: &Active, result: Result<(), Failure>) -> End {
+fn end_of(active: &Active, result: Result<(), Failure>) -> Completion {
     match (result, &active.head) {
-        (Err(Failure { ran: Ran::NotRun, .. }), _) => End::NotRun,
-        (Ok(()), Some((status, content_type))) if active.whole => End::Whole(Answer {
+        (Err(Failure { ran: Ran::NotRun, .. }), _) => Completion::NotRun,
+        (Ok(()), Some((status, content_type))) if active.whole => Completion::Complete(Answer {
             status: *status,
             content_type: content_type.clone(),
             body: active.kept.clone(),
         }),
-        _ => End::Broken,
+        _ => Completion::Incomplete,
     }
 }
 
--- a/crates/sablepass-core/src/gate.rs
+++ b/crates/sablepass-core/src/gate.rs
@@ -263,14 +263,14 @@
 
     /// Records how a running attempt ended. `key` is its idempotency key, if the request is
     /// unsafe.
-    pub fn finish(&mut self, now: Millis, attempt: AttemptId, key: Option<&Key>, end: End) {
+    pub fn finish(&mut self, now: Millis, attempt: AttemptId, key: Option<&Key>, end: Completion) {
         self.running = self.running.saturating_sub(1);
         self.table.finish(attempt);
         let Some(key) = key else { return };
         match end {
-            End::NotRun => self.table.release_key(key),
-            End::Whole(answer) => self.table.finish_key(now, key, Some(answer)),
-            End::Broken => self.table.finish_key(now, key, None),
+            Completion::NotRun => self.table.release_key(key),
+            Completion::Complete(answer) => self.table.finish_key(now, key, Some(answer)),
+            Completion::Incomplete => self.table.finish_key(now, key, None),
         }
     }
 
@@ -283,13 +283,13 @@
 
 /// How an attempt ended at the target.
 #[derive(Debug)]
-pub enum End {
+pub enum Completion {
     /// The attempt didn't run: no connection to the target was made.
     NotRun,
     /// The target's answer is complete.
-    Whole(once::Answer),
+    Complete(once::Answer),
     /// The attempt may have run, but there is no complete answer.
-    Broken,
+    Incomplete,
 }
 
 /// Returns the text that is hashed to choose the owner of a key among the declared targets.
--- a/crates/sablepass-core/tests/chaos.rs
+++ b/crates/sablepass-core/tests/chaos.rs
@@ -16,7 +16,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::flight::{self, Action, Event, Flight, Head, Verdict};
-use sablepass_core::gate::{self, Decision, End, Gate};
+use sablepass_core::gate::{self, Completion, Decision, Gate};
 use sablepass_core::id::{AttemptId, Incarnation, RequestId};
 use sablepass_core::once::{self, Answer, AttemptState, Key};
 use sablepass_core::outcome::Ran;
@@ -313,7 +313,7 @@
                 let answer =
                     Answer { status: 200, content_type: String::new(), body: body.clone() };
                 let it = &mut self.agents[agent];
-                it.gate.finish(self.now, attempt, key.as_ref(), End::Whole(answer));
+                it.gate.finish(self.now, attempt, key.as_ref(), Completion::Complete(answer));
                 it.answers.insert(attempt, body.clone());
                 self.answer(agent, attempt, &body);
             }
--- a/crates/sablepass-core/tests/gate.rs
+++ b/crates/sablepass-core/tests/gate.rs
@@ -4,7 +4,7 @@
 //! Rules by which the gate of a target accepts and refuses attempts: owners of idempotency keys,
 //! recorded answers, draining and the limits of the at-most-once table.
 
-use sablepass_core::gate::{Decision, Dispatch, End, Gate, Options, owner_key};
+use sablepass_core::gate::{Completion, Decision, Dispatch, Gate, Options, owner_key};
 use sablepass_core::id::{AttemptId, Incarnation, RequestId};
 use sablepass_core::once::{self, Answer, Key};
 use sablepass_core::reason::Refusal;
@@ -109,7 +109,7 @@
     let second = dispatch(2, &key, None);
     assert_eq!(gate.dispatch(20_001, &second), Decision::Refuse(Refusal::KeyInFlight));
     let answer = Answer { status: 200, content_type: "t".to_owned(), body: b"x".to_vec() };
-    gate.finish(20_002, first.attempt, Some(&key), End::Whole(answer.clone()));
+    gate.finish(20_002, first.attempt, Some(&key), Completion::Complete(answer.clone()));
     assert_eq!(gate.dispatch(20_003, &second), Decision::Replay(answer));
     let other = Dispatch { body_hash: 2, ..dispatch(3, &key, None) };
     assert_eq!(gate.dispatch(20_004, &other), Decision::Refuse(Refusal::KeyReused));
@@ -132,7 +132,7 @@
     let in_flight = Decision::Refuse(Refusal::KeyInFlight);
     assert_eq!(gate.dispatch_if(20_002, &second, paused), in_flight);
     let answer = Answer { status: 200, content_type: "t".to_owned(), body: b"x".to_vec() };
-    gate.finish(20_003, first.attempt, Some(&key), End::Whole(answer.clone()));
+    gate.finish(20_003, first.attempt, Some(&key), Completion::Complete(answer.clone()));
     assert_eq!(gate.dispatch_if(20_004, &second, paused), Decision::Replay(answer));
 }
 
