--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -266,7 +266,7 @@
     }
 
     /// Returns the id of the last complete event, after which another target resumes a stream.
-    pub fn last_event(&self) -> Option<&str> {
+    pub fn last_event_id(&self) -> Option<&str> {
         self.splitter.as_ref().and_then(Splitter::last)
     }
 
@@ -277,13 +277,13 @@
     }
 
     /// Returns whether the caller got its final answer or failure.
-    pub fn ended(&self) -> bool {
+    pub fn is_ended(&self) -> bool {
         self.state == State::Ended
     }
 
     /// Returns whether a timeout has expired, so that an [`Event::Tick`] has an effect. `heard`
     /// is the time of the last message from the target's agent.
-    pub fn due(&self, now: Millis, heard: Millis) -> bool {
+    pub fn is_due(&self, now: Millis, heard: Millis) -> bool {
         let late = now >= self.request.deadline;
         match self.state {
             State::Probing { since } => late || now >= since + self.options.probe_timeout,
@@ -315,14 +315,14 @@
     /// Handles an event of attempt `number`, or of the whole request if `number` is 0, and
     /// returns the resulting actions. `budget` takes one retry from the retry budget and returns
     /// false if there is none left. Events of earlier attempts are ignored and counted.
-    pub fn on(
+    pub fn handle_event(
         &mut self,
         now: Millis,
         number: u32,
         event: Event,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        if self.ended() || (number != 0 && number != self.attempt) {
+        if self.is_ended() || (number != 0 && number != self.attempt) {
             return vec![Action::CountIgnored(Ignored::LateAnswer)];
         }
         match event {
--- a/crates/sablepass-core/tests/chaos.rs
+++ b/crates/sablepass-core/tests/chaos.rs
@@ -234,7 +234,7 @@
 
     fn event(&mut self, index: usize, number: u32, event: Event) {
         let mut spend = || true;
-        let actions = self.requests[index].flight.on(self.now, number, event, &mut spend);
+        let actions = self.requests[index].flight.handle_event(self.now, number, event, &mut spend);
         self.act(index, actions);
     }
 
@@ -339,7 +339,7 @@
         self.connections[agent] += 1;
         let incarnation = self.agents[agent].incarnation;
         for index in 0..self.requests.len() {
-            if self.requests[index].target == agent && !self.requests[index].flight.ended() {
+            if self.requests[index].target == agent && !self.requests[index].flight.is_ended() {
                 self.event(index, 0, Event::LinkDown);
                 self.event(index, 0, Event::LinkUp(incarnation));
             }
@@ -394,7 +394,7 @@
             self.deliver(it);
         }
         for index in 0..self.requests.len() {
-            if !self.requests[index].flight.ended() {
+            if !self.requests[index].flight.is_ended() {
                 let heard = self.now.saturating_sub(self.rng.random_range(0..12_000));
                 self.event(index, 0, Event::Tick { heard });
             }
--- a/crates/sablepass-core/tests/scenarios.rs
+++ b/crates/sablepass-core/tests/scenarios.rs
@@ -89,7 +89,7 @@
             left
         };
         let flight = self.flight.as_mut().expect("`open` is missing");
-        flight.on(self.now, 0, event, &mut spend)
+        flight.handle_event(self.now, 0, event, &mut spend)
     }
 
     fn send(&mut self, name: &str) {
@@ -201,7 +201,7 @@
             "end" => self.event(Event::Done { length: self.offset }),
             "last" => {
                 let flight = self.flight.as_ref().ok_or("`open` is missing")?;
-                return Ok(format!("last event {:?}\n", flight.last_event()));
+                return Ok(format!("last event {:?}\n", flight.last_event_id()));
             }
             "refused" => self.event(Event::Refused(Refusal::TargetFull)),
             "unsent" => self.event(Event::Unsent),
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -244,7 +244,7 @@
 }
 
 fn on(flight: &mut Flight, event: Event) -> Vec<Action> {
-    flight.on(1_000, 0, event, &mut || true)
+    flight.handle_event(1_000, 0, event, &mut || true)
 }
 
 /// A copy that waits has not run; of one that was sent nobody knows; one that
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -239,7 +239,7 @@
         customer: open.told.as_deref(),
         left: open.flight.request().deadline.saturating_sub(now).max(1),
         replica: target,
-        after: open.flight.last_event(),
+        after: open.flight.last_event_id(),
         length: run.body.len(),
         body: request::has_body(&run.head),
     };
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -269,7 +269,7 @@
         };
         slog::info!(self.log, "sent"; "id" => &open.run.label, "target" => &choice.name, "addr" => addr,
             "attempt" => attempt.number, "load" => choice.load, "of" => choice.candidates,
-            "after" => open.flight.last_event(), "route" => route_name(open), "era" => open.revision.era,
+            "after" => open.flight.last_event_id(), "route" => route_name(open), "era" => open.revision.era,
             "revision" => open.revision.number, "left" => open.flight.request().deadline.saturating_sub(now));
         let step = Step::Sent {
             target: choice.name.clone(),
@@ -305,7 +305,7 @@
         };
         let mut budget = self.budgets.get_mut(&open.served);
         let mut spend = || budget.as_mut().is_some_and(|it| it.spend());
-        let actions = open.flight.on(clock::now(), number, event, &mut spend);
+        let actions = open.flight.handle_event(clock::now(), number, event, &mut spend);
         self.act(cx, id, actions);
     }
 
@@ -313,7 +313,7 @@
         for action in actions {
             self.act_one(cx, id, action);
         }
-        if self.open.get(&id).is_some_and(|it| it.flight.ended()) {
+        if self.open.get(&id).is_some_and(|it| it.flight.is_ended()) {
             self.close(id);
         }
     }
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -89,7 +89,7 @@
             return;
         };
         let heard = open.flight.target().map_or(0, |it| self.targets.last_alive(it));
-        if open.flight.due(now, heard) {
+        if open.flight.is_due(now, heard) {
             self.event(cx, id, 0, Event::Tick { heard });
         }
     }
