--- a/crates/sablepass-core/src/events.rs
+++ b/crates/sablepass-core/src/events.rs
@@ -20,7 +20,7 @@
 
 impl Splitter {
     /// Appends bytes of the stream and returns those of all events that are complete now.
-    pub fn take(&mut self, bytes: &[u8]) -> Vec<u8> {
+    pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.pending.extend_from_slice(bytes);
         let mut complete_len = 0;
         while let Some((line, rest)) = parser::parse_line(&self.pending[self.lines_len..]) {
@@ -43,7 +43,7 @@
     }
 
     /// Returns the id of the last complete event that had one.
-    pub fn last(&self) -> Option<&str> {
+    pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Discards an incomplete event before another target continues the stream.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
         self.lines_len = 0;
         self.pending_id = None;
--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -267,7 +267,7 @@
 
     /// Returns the id of the last complete event, after which another target resumes a stream.
     pub fn last_event_id(&self) -> Option<&str> {
-        self.splitter.as_ref().and_then(Splitter::last)
+        self.splitter.as_ref().and_then(Splitter::last_id)
     }
 
     /// Returns whether an attempt is in progress and no part of its answer, nor any other sign
@@ -352,7 +352,7 @@
         self.received = 0;
         self.body.clear();
         if let Some(splitter) = &mut self.splitter {
-            splitter.restart();
+            splitter.discard_partial();
         }
     }
 
@@ -427,7 +427,7 @@
         data.drain(..(self.received - offset) as usize);
         self.received = end;
         if let Some(splitter) = &mut self.splitter {
-            let complete = splitter.take(&data);
+            let complete = splitter.push(&data);
             return if complete.is_empty() { Vec::new() } else { vec![Action::Deliver(complete)] };
         }
         if self.request.stream {
