--- a/crates/sablepass-agent/src/leaving.rs
+++ b/crates/sablepass-agent/src/leaving.rs
@@ -39,7 +39,7 @@
 
     pub(crate) fn beat(&mut self, cx: CX![]) {
         self.report();
-        let (attempts, keys) = self.gate.remembered();
+        let (attempts, keys) = self.gate.once_table_len();
         self.metrics.once.with_label_values(&["attempts"]).set(attempts as i64);
         self.metrics.once.with_label_values(&["keys"]).set(keys as i64);
         after!(Duration::from_millis(self.settings.heartbeat), [cx], beat());
--- a/crates/sablepass-core/src/gate.rs
+++ b/crates/sablepass-core/src/gate.rs
@@ -121,7 +121,7 @@
     }
 
     /// Returns the number of attempts and of keys in the at-most-once table.
-    pub fn remembered(&self) -> (usize, usize) {
+    pub fn once_table_len(&self) -> (usize, usize) {
         self.table.len()
     }
 
