--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -477,7 +477,7 @@
         reason: Refusal,
         budget: &mut dyn FnMut() -> bool,
     ) -> Vec<Action> {
-        let mut ran = reason.ran_by_agent();
+        let mut ran = reason.ran_after_agent_refusal();
         if reason == Refusal::Duplicate {
             // A duplicate of the dispatch message was refused; the first copy is still handled.
             return vec![Action::CountIgnored(Ignored::LateAnswer)];
@@ -489,7 +489,7 @@
         // If the agent proved that this attempt did not run, even an unsafe request may be
         // retried at another target, unless it has a key: only the key's owner may run it.
         let may_repeat = ran == Ran::NotRun || !self.request.unsafe_repeat;
-        if reason.try_elsewhere() && may_repeat && !self.request.keyed {
+        if reason.may_retry_elsewhere() && may_repeat && !self.request.keyed {
             return self.retry_within_limits(now, Retry::Refused, failure, budget);
         }
         self.fail(failure.reason, failure.ran)
--- a/crates/sablepass-core/src/reason.rs
+++ b/crates/sablepass-core/src/reason.rs
@@ -254,7 +254,7 @@
 
     /// Returns whether a request refused by an agent ran. Most refusals prove that it did not run,
     /// but some report that an earlier request with the same idempotency key did or may have.
-    pub fn ran_by_agent(self) -> Ran {
+    pub fn ran_after_agent_refusal(self) -> Ran {
         match self {
             Self::KeyInFlight | Self::KeyAnswerLost => Ran::Ran,
             // A previous incarnation of the agent may have run the attempt.
@@ -266,7 +266,7 @@
     }
 
     /// Returns whether another target may accept a request that this agent refused.
-    pub fn try_elsewhere(self) -> bool {
+    pub fn may_retry_elsewhere(self) -> bool {
         matches!(
             self,
             Self::WrongIncarnation
