--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -50,7 +50,7 @@
     /// Time after which the caller no longer waits for an answer.
     pub deadline: Millis,
     /// Maximum number of attempts, the first included. Attempts that were not sent don't count.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether the request is unsafe: it must run at most once.
     pub unsafe_repeat: bool,
     /// Whether the request has an idempotency key. Only the target that owns the key may run it.
@@ -58,7 +58,7 @@
     /// Whether the answer is delivered part by part rather than once it is complete.
     pub stream: bool,
     /// Whether another target may continue an interrupted answer after its last complete event.
-    pub resume: bool,
+    pub resumable: bool,
 }
 
 /// A header field of an answer, forwarded unchanged.
@@ -226,7 +226,7 @@
 impl Flight {
     /// Returns the initial state, which waits for a target.
     pub fn new(options: Options, request: Request) -> Self {
-        let splitter = request.resume.then(Splitter::default);
+        let splitter = request.resumable.then(Splitter::default);
         Self {
             options,
             request,
@@ -668,7 +668,9 @@
     /// allow another attempt.
     fn is_retry_allowed(&self, now: Millis) -> bool {
         let late = now >= self.request.deadline;
-        !self.is_committed() && !late && self.attempt - self.unsent_attempts < self.request.attempts
+        !self.is_committed()
+            && !late
+            && self.attempt - self.unsent_attempts < self.request.max_attempts
     }
 
     /// Returns whether part of an answer was delivered that no other target can continue.
--- a/crates/sablepass-core/tests/chaos.rs
+++ b/crates/sablepass-core/tests/chaos.rs
@@ -168,8 +168,8 @@
             unsafe_repeat,
             keyed,
             stream: self.rng.random_bool(0.5),
-            resume: false,
-            attempts: 4,
+            resumable: false,
+            max_attempts: 4,
         };
         let flight = Flight::new(flight::Options::default(), request);
         self.requests.push(Request {
--- a/crates/sablepass-core/tests/scenarios.rs
+++ b/crates/sablepass-core/tests/scenarios.rs
@@ -167,8 +167,8 @@
                     unsafe_repeat: flags.contains(&"unsafe"),
                     keyed: key.is_some(),
                     stream: flags.contains(&"stream"),
-                    resume: flags.contains(&"resume"),
-                    attempts: 4,
+                    resumable: flags.contains(&"resume"),
+                    max_attempts: 4,
                 };
                 self.key = key;
                 self.flight = Some(Flight::new(flight::Options::default(), request));
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -234,11 +234,11 @@
     let request = Request {
         id: RequestId(1),
         deadline: 10_000,
-        attempts: 2,
+        max_attempts: 2,
         unsafe_repeat: false,
         keyed: false,
         stream: true,
-        resume: true,
+        resumable: true,
     };
     Flight::new(Options::default(), request)
 }
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -162,19 +162,19 @@
         let own = flight::Request {
             id: run.id,
             deadline: run.deadline,
-            attempts: self.settings.attempts,
+            max_attempts: self.settings.attempts,
             unsafe_repeat: run.unsafe_repeat,
             keyed,
             stream: run.stream,
-            resume: false,
+            resumable: false,
         };
         let Some(route) = route else { return own };
         flight::Request {
             deadline: run.deadline.min(run.arrived + route.timeout),
-            attempts: route.attempts,
+            max_attempts: route.attempts,
             unsafe_repeat: route.once(),
             stream: route.class == Class::Stream,
-            resume: route.class == Class::Stream && route.resume,
+            resumable: route.class == Class::Stream && route.resume,
             ..own
         }
     }
