--- a/crates/sablepass-core/src/holders.rs
+++ b/crates/sablepass-core/src/holders.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::id::{Life, Millis};
+use crate::id::{Millis, TargetIncarnation};
 use crate::limits::Rate;
 use crate::rendezvous;
 
@@ -88,7 +88,7 @@
     }
 
     /// This entry's part of a limit; none if it holds none.
-    pub fn part(&self, it: Life<'_>, limit: Rate) -> Option<Rate> {
+    pub fn part(&self, it: TargetIncarnation<'_>, limit: Rate) -> Option<Rate> {
         if !self.active {
             return None;
         }
@@ -108,7 +108,7 @@
     }
 
     /// The other entries that hold a limit.
-    pub fn others(&self, it: Life<'_>, limit: Rate) -> Vec<&str> {
+    pub fn others(&self, it: TargetIncarnation<'_>, limit: Rate) -> Vec<&str> {
         let all = self.shared.iter().map(String::as_str).chain([self.me.as_str()]);
         let ranked = rendezvous::rank(&key(it), all);
         let holders = ranked.into_iter().take(self.count(limit.usable()));
@@ -121,6 +121,6 @@
     }
 }
 
-fn key(it: Life<'_>) -> String {
+fn key(it: TargetIncarnation<'_>) -> String {
     format!("{}/{}", it.name, it.born)
 }
--- a/crates/sablepass-core/src/id.rs
+++ b/crates/sablepass-core/src/id.rs
@@ -44,7 +44,7 @@
 
 /// One incarnation of a target, from its start to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life<'a> {
+pub struct TargetIncarnation<'a> {
     /// The target's name.
     pub name: &'a str,
     /// Start time of the incarnation. 0 if the target doesn't announce it; then each incarnation
--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 
 use crate::holders::Holders;
-use crate::id::{Life, Millis};
+use crate::id::{Millis, TargetIncarnation};
 use crate::limits::{Change, Limit, Rate, Turn};
 
 /// How long a notice is kept of a target that the list names no more. On the users' platform
@@ -61,7 +61,7 @@
     fn change(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
     ) -> Change {
@@ -78,7 +78,7 @@
     }
 
     /// Works out this entry's part of the limit.
-    fn share(&mut self, now: Millis, it: Life<'_>, holders: &Holders) {
+    fn share(&mut self, now: Millis, it: TargetIncarnation<'_>, holders: &Holders) {
         if let Some(limit) = &mut self.limit {
             let part = holders.part(it, limit.rate());
             limit.bucket.set(now, part);
@@ -94,7 +94,7 @@
 
 impl Notices {
     /// Records that a target wants nothing for so long. Whether it rests only since now.
-    pub fn rest(&mut self, now: Millis, it: Life<'_>, asked: Millis) -> bool {
+    pub fn rest(&mut self, now: Millis, it: TargetIncarnation<'_>, asked: Millis) -> bool {
         let notice = self.open(it);
         let begins = now >= notice.until;
         if begins {
@@ -105,14 +105,14 @@
     }
 
     /// Records that a target leaves. Whether that is new.
-    pub fn leave(&mut self, now: Millis, it: Life<'_>) -> bool {
+    pub fn leave(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         let leaves = &mut self.open(it).leaves;
         let begins = leaves.is_none();
         leaves.get_or_insert(now);
         begins
     }
 
-    fn open(&mut self, it: Life<'_>) -> &mut Notice {
+    fn open(&mut self, it: TargetIncarnation<'_>) -> &mut Notice {
         let fresh = Notice { born: it.born, ..Notice::default() };
         let notice = self.notices.entry(it.name.to_owned()).or_insert(fresh);
         if notice.born != it.born {
@@ -121,27 +121,27 @@
         notice
     }
 
-    fn get(&self, it: Life<'_>) -> Option<&Notice> {
+    fn get(&self, it: TargetIncarnation<'_>) -> Option<&Notice> {
         self.notices.get(it.name).filter(|known| known.born == it.born)
     }
 
     /// Until when a target rests, if it does.
-    pub fn rests(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
+    pub fn rests(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Millis> {
         self.get(it).map(|it| it.until).filter(|until| now < *until)
     }
 
     /// Since when a target rests, if it does.
-    pub fn rests_since(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
+    pub fn rests_since(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Millis> {
         self.get(it).filter(|it| now < it.until).map(|it| it.since)
     }
 
     /// Whether a target leaves.
-    pub fn leaves(&self, it: Life<'_>) -> bool {
+    pub fn leaves(&self, it: TargetIncarnation<'_>) -> bool {
         self.leaves_since(it).is_some()
     }
 
     /// Since when a target is known to leave, if it is.
-    pub fn leaves_since(&self, it: Life<'_>) -> Option<Millis> {
+    pub fn leaves_since(&self, it: TargetIncarnation<'_>) -> Option<Millis> {
         self.get(it)?.leaves
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Records that the list names a target. True if that ends a rest: it is another life.
-    pub fn listed(&mut self, now: Millis, it: Life<'_>) -> bool {
+    pub fn listed(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         let Some(notice) = self.notices.get_mut(it.name) else { return false };
         notice.unlisted = None;
         if notice.born == it.born {
@@ -189,7 +189,7 @@
     pub fn answered(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         sent: Millis,
         named: Option<Rate>,
         holders: &Holders,
@@ -201,7 +201,7 @@
     pub fn told(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
@@ -212,7 +212,7 @@
     pub fn reported(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
@@ -222,7 +222,7 @@
     fn limit(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
@@ -242,7 +242,7 @@
     pub fn settle(&mut self, now: Millis, holders: &Holders) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, notice) in &mut self.notices {
-            let life = Life { name, born: notice.born };
+            let life = TargetIncarnation { name, born: notice.born };
             let change = notice.change(now, life, holders, |limit| limit.settle(now));
             if change != Change::None {
                 changes.push((name.clone(), change));
@@ -254,40 +254,45 @@
     /// Shares all limits out anew: other entries hold them.
     pub fn share(&mut self, now: Millis, holders: &Holders) {
         for (name, notice) in &mut self.notices {
-            let life = Life { name, born: notice.born };
+            let life = TargetIncarnation { name, born: notice.born };
             notice.share(now, life, holders);
         }
     }
 
     /// The limit that a target names, if it does.
-    pub fn limited(&self, it: Life<'_>) -> Option<&Limit> {
+    pub fn limited(&self, it: TargetIncarnation<'_>) -> Option<&Limit> {
         self.get(it)?.limit.as_ref()
     }
 
     /// When this entry may send one more request to a target; none if that names no limit.
-    pub fn next(&self, now: Millis, it: Life<'_>) -> Option<Turn> {
+    pub fn next(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Turn> {
         let next = self.limited(it)?.bucket.next(now);
         Some(next.map_or(Turn::Never, Turn::In))
     }
 
     /// Takes a request, to be sent within `most` milliseconds, out of this entry's part of a
     /// target's limit; none if that names no limit.
-    pub fn reserve(&mut self, now: Millis, it: Life<'_>, most: Millis) -> Option<Turn> {
+    pub fn reserve(
+        &mut self,
+        now: Millis,
+        it: TargetIncarnation<'_>,
+        most: Millis,
+    ) -> Option<Turn> {
         let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born)?;
         Some(notice.limit.as_mut()?.bucket.reserve(now, most))
     }
 
     /// The lives that name a limit.
-    pub fn limits(&self) -> impl Iterator<Item = (Life<'_>, &Limit)> {
-        self.notices
-            .iter()
-            .filter_map(|(name, it)| Some((Life { name, born: it.born }, it.limit.as_ref()?)))
+    pub fn limits(&self) -> impl Iterator<Item = (TargetIncarnation<'_>, &Limit)> {
+        self.notices.iter().filter_map(|(name, it)| {
+            Some((TargetIncarnation { name, born: it.born }, it.limit.as_ref()?))
+        })
     }
 
     /// The lives that said that they leave.
-    pub fn leaving(&self) -> impl Iterator<Item = Life<'_>> {
+    pub fn leaving(&self) -> impl Iterator<Item = TargetIncarnation<'_>> {
         let leaving = self.notices.iter().filter(|it| it.1.leaves.is_some());
-        leaving.map(|(name, it)| Life { name, born: it.born })
+        leaving.map(|(name, it)| TargetIncarnation { name, born: it.born })
     }
 
     /// Targets that rest.
--- a/crates/sablepass-core/tests/holders.rs
+++ b/crates/sablepass-core/tests/holders.rs
@@ -7,11 +7,11 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sablepass_core::holders::Holders;
-use sablepass_core::id::{Life, Millis};
+use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::limits::{Bucket, Rate};
 use sablepass_core::sharers::Sharers;
 
-const LIFE: Life<'static> = Life { name: "i-1", born: 100 };
+const LIFE: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
 /// Milliseconds between two looks of an entry at the others, and at its requests.
 const LOOK: Millis = 100;
 const STEP: Millis = 5;
--- a/crates/sablepass-core/tests/limit.rs
+++ b/crates/sablepass-core/tests/limit.rs
@@ -6,12 +6,12 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sablepass_core::holders::Holders;
-use sablepass_core::id::Life;
+use sablepass_core::id::TargetIncarnation;
 use sablepass_core::limits::{Change, Rate, Turn};
 use sablepass_core::notices::Notices;
 
-const FIRST: Life<'static> = Life { name: "i-1", born: 100 };
-const NEXT: Life<'static> = Life { name: "i-1", born: 200 };
+const FIRST: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
+const NEXT: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 200 };
 
 fn rate(a_second: f64) -> Rate {
     Rate::new(a_second).expect("a rate")
@@ -168,7 +168,12 @@
     for number in 0..1_000_000 {
         let name = format!("i-{number}");
         if notices.has_room(&name) {
-            notices.told(3_000, Life { name: &name, born: 0 }, Some(rate(1.0)), &holders);
+            notices.told(
+                3_000,
+                TargetIncarnation { name: &name, born: 0 },
+                Some(rate(1.0)),
+                &holders,
+            );
             notices.unlisted(3_000, &name);
         }
     }
--- a/crates/sablepass-core/tests/notices.rs
+++ b/crates/sablepass-core/tests/notices.rs
@@ -5,12 +5,12 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sablepass_core::holders::Holders;
-use sablepass_core::id::Life;
+use sablepass_core::id::TargetIncarnation;
 use sablepass_core::limits::Rate;
 use sablepass_core::notices::Notices;
 
-const FIRST: Life<'static> = Life { name: "i-1", born: 100 };
-const NEXT: Life<'static> = Life { name: "i-1", born: 200 };
+const FIRST: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
+const NEXT: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 200 };
 
 /// What an entry hears of one life of a target, and how much later than the step before.
 #[derive(Clone, Debug)]
@@ -137,7 +137,7 @@
         assert!(notices.is_empty(), "round {round}: {}", notices.len());
         let names: Vec<String> = (0..5_000).map(|it| format!("i-{round}-{it}")).collect();
         for name in &names {
-            let life = Life { name, born: 0 };
+            let life = TargetIncarnation { name, born: 0 };
             notices.leave(1, life);
             notices.rest(now, life, u64::MAX);
             notices.unlisted(now + 1, name);
--- a/crates/sablepass-core/tests/sharing.rs
+++ b/crates/sablepass-core/tests/sharing.rs
@@ -6,10 +6,10 @@
 //! Ways to share it are compared in a model of entries without network.
 
 use sablepass_core::holders::Holders;
-use sablepass_core::id::{Life, Millis};
+use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::limits::{Bucket, Rate, Turn};
 
-const LIFE: Life<'static> = Life { name: "i-1", born: 100 };
+const LIFE: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
 /// Milliseconds of a span in which requests are counted, and of a run.
 const SPAN: Millis = 4_000;
 const LASTS: Millis = 60_000;
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -5,7 +5,7 @@
 //! what their answers prove.
 
 use sablepass_core::flight::{Event, Head};
-use sablepass_core::id::{AttemptId, Life, Millis, RequestId};
+use sablepass_core::id::{AttemptId, Millis, RequestId, TargetIncarnation};
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
 use sablepass_edge::client::{self, Outgoing};
@@ -100,10 +100,12 @@
         let meta = answer::decode(now, head);
         let Some(life) = self.pool.target(key) else { return };
         let (target, born) = (life.name.to_owned(), life.born);
-        if meta.leaving && self.target_leaves(now, Life { name: &target, born }, Source::Seen) {
-            self.tell_leaving(Life { name: &target, born });
+        if meta.leaving
+            && self.target_leaves(now, TargetIncarnation { name: &target, born }, Source::Seen)
+        {
+            self.tell_leaving(TargetIncarnation { name: &target, born });
         }
-        self.check_wishes(now, carried, Life { name: &target, born });
+        self.check_wishes(now, carried, TargetIncarnation { name: &target, born });
         if let Some(load) = meta.load {
             self.targets.told(now, &target, load.running + load.waiting);
         }
@@ -111,9 +113,15 @@
         for field in answer::unread(head.headers()) {
             self.unread.note(&self.log, &self.metrics, &target, field);
         }
-        self.names_limit(now, carried, Life { name: &target, born }, meta.limit);
+        self.names_limit(now, carried, TargetIncarnation { name: &target, born }, meta.limit);
         if meta.rest != Rest::None || meta.proof != Proof::None {
-            self.turned_away(now, carried, Life { name: &target, born }, status, &meta);
+            self.turned_away(
+                now,
+                carried,
+                TargetIncarnation { name: &target, born },
+                status,
+                &meta,
+            );
         }
         // Statuses that promise that nothing ran need the target's own word for it.
         let unproven = matches!(status, 408 | 429 | 503);
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -5,7 +5,7 @@
 //! rest, which binds this entry, that they leave, which is true for all entries, and what they
 //! take from all of them together.
 
-use sablepass_core::id::{Life, Millis};
+use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::limits::{Change, Rate};
 use sablepass_core::reason::Ignored;
 use sablepass_edge::clock;
@@ -43,7 +43,7 @@
         &mut self,
         now: Millis,
         carried: Carried,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         status: u16,
         meta: &Meta,
     ) {
@@ -70,7 +70,7 @@
         &mut self,
         now: Millis,
         carried: Carried,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         limit: Limit,
     ) {
         let named = match limit {
@@ -94,7 +94,13 @@
     }
 
     /// Logs what became of a target's limit.
-    fn limit_changed(&self, it: Life<'_>, change: Change, label: Option<&str>, source: &str) {
+    fn limit_changed(
+        &self,
+        it: TargetIncarnation<'_>,
+        change: Change,
+        label: Option<&str>,
+        source: &str,
+    ) {
         match change {
             Change::None => {}
             Change::Holds(rate) => {
@@ -108,7 +114,7 @@
     }
 
     /// Tells the other entries what became of a target's limit.
-    fn tell_limit(&self, it: Life<'_>, change: Change) {
+    fn tell_limit(&self, it: TargetIncarnation<'_>, change: Change) {
         let rate = match change {
             Change::None => return,
             Change::Holds(rate) => Some(rate),
@@ -121,7 +127,7 @@
     pub(crate) fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) {
         let change = self.targets.reported_limit(now, name, rate);
         let born = self.targets.born(name);
-        self.limit_changed(Life { name, born }, change, None, "agent");
+        self.limit_changed(TargetIncarnation { name, born }, change, None, "agent");
     }
 
     /// Believes what other entries told of limits, once nothing has spoken against it for a
@@ -129,7 +135,7 @@
     pub(crate) fn settle_limits(&mut self, now: Millis) {
         for (name, change) in self.targets.settle_limits(now) {
             let born = self.targets.born(&name);
-            self.limit_changed(Life { name: &name, born }, change, None, "told");
+            self.limit_changed(TargetIncarnation { name: &name, born }, change, None, "told");
         }
         let (mut all, mut own) = (0.0, 0.0);
         for (_, it) in self.targets.limits() {
@@ -143,7 +149,7 @@
     /// Counts an answer to a request that was sent while its target rested, or after it was
     /// known to leave. There is none: whoever sees these counts grow has found a fault of the
     /// entry.
-    pub(crate) fn check_wishes(&self, now: Millis, carried: Carried, it: Life<'_>) {
+    pub(crate) fn check_wishes(&self, now: Millis, carried: Carried, it: TargetIncarnation<'_>) {
         let Some(open) = self.open.get(&carried.request) else { return };
         if self.targets.left_before(it, open.sent) {
             self.metrics.sent_to_leaving.inc();
@@ -158,7 +164,12 @@
     }
 
     /// Records that a target leaves: it gets nothing more in this life. Whether that is new.
-    pub(crate) fn target_leaves(&mut self, now: Millis, it: Life<'_>, source: Source) -> bool {
+    pub(crate) fn target_leaves(
+        &mut self,
+        now: Millis,
+        it: TargetIncarnation<'_>,
+        source: Source,
+    ) -> bool {
         let begins = self.targets.said_it_leaves(now, it);
         if begins {
             self.metrics.left.with_label_values(&[source.label()]).inc();
@@ -170,7 +181,7 @@
     }
 
     /// Tells the other entries that a target leaves.
-    pub(crate) fn tell_leaving(&self, it: Life<'_>) {
+    pub(crate) fn tell_leaving(&self, it: TargetIncarnation<'_>) {
         self.tell(&Told { leaving: vec![it], ..Told::default() });
     }
 
@@ -223,7 +234,7 @@
     }
 
     /// Whether what is told of a target is kept; counts it if not.
-    fn keeps_word(&self, it: Life<'_>) -> bool {
+    fn keeps_word(&self, it: TargetIncarnation<'_>) -> bool {
         let keeps = self.targets.keeps_word(it);
         if !keeps {
             self.metrics.ignored(Ignored::ManyNotices);
--- a/crates/sablepass-entry/src/pool.rs
+++ b/crates/sablepass-entry/src/pool.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sablepass_core::id::{Life, Millis, RequestId};
+use sablepass_core::id::{Millis, RequestId, TargetIncarnation};
 use sablepass_edge::client::{self, Connection, Outgoing};
 use stakker::{ActorOwn, Core, Fwd, actor_new, call, ret_nop};
 
@@ -156,8 +156,8 @@
     }
 
     /// The target at the other end, in the life that the connection was made to.
-    pub fn target(&self, key: ConnectionKey) -> Option<Life<'_>> {
-        self.open.get(&key).map(|it| Life { name: &it.target, born: it.born })
+    pub fn target(&self, key: ConnectionKey) -> Option<TargetIncarnation<'_>> {
+        self.open.get(&key).map(|it| TargetIncarnation { name: &it.target, born: it.born })
     }
 
     /// Leaves the request that a connection carries; the rest of the answer is
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -18,7 +18,7 @@
 use sablepass_core::forming::Forming;
 use sablepass_core::gate;
 use sablepass_core::holders::Holders;
-use sablepass_core::id::{Incarnation, Life, Millis};
+use sablepass_core::id::{Incarnation, Millis, TargetIncarnation};
 use sablepass_core::membership::{Members, Pace, Report};
 use sablepass_core::notices::Notices;
 use sablepass_core::once::Key;
@@ -465,7 +465,7 @@
     }
 
     /// A target at which the request has its turn, if that may get work now.
-    pub fn choose_given(&self, now: Millis, it: Life<'_>) -> Option<Choice> {
+    pub fn choose_given(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Choice> {
         if self.is_past(it) || !self.open_for(now, it.name) {
             return None;
         }
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -3,7 +3,7 @@
 
 //! Limits that targets name: what this entry may send of them, and to whom others turn.
 
-use sablepass_core::id::{Life, Millis};
+use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::limits::{Change, Limit, Rate, Turn};
 
 use crate::targets::{Served, Targets};
@@ -31,7 +31,7 @@
     pub fn answered(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         sent: Millis,
         named: Option<Rate>,
     ) -> Change {
@@ -44,7 +44,12 @@
     }
 
     /// Takes what another entry tells of a target's limit.
-    pub fn told_limit(&mut self, now: Millis, it: Life<'_>, rate: Option<Rate>) -> Change {
+    pub fn told_limit(
+        &mut self,
+        now: Millis,
+        it: TargetIncarnation<'_>,
+        rate: Option<Rate>,
+    ) -> Change {
         if self.is_past(it) {
             return Change::None;
         }
@@ -65,12 +70,12 @@
     }
 
     /// The lives that name a limit.
-    pub fn limits(&self) -> impl Iterator<Item = (Life<'_>, &Limit)> {
+    pub fn limits(&self) -> impl Iterator<Item = (TargetIncarnation<'_>, &Limit)> {
         self.notices.limits()
     }
 
     /// The limit that a target names, if it does.
-    pub fn limit(&self, it: Life<'_>) -> Option<&Limit> {
+    pub fn limit(&self, it: TargetIncarnation<'_>) -> Option<&Limit> {
         self.notices.limited(it)
     }
 
@@ -87,7 +92,7 @@
 
     /// Whether a request may be sent to a target, where it was chosen at `sent`: a limit may
     /// have become known since.
-    pub fn admits(&mut self, now: Millis, it: Life<'_>, sent: Millis) -> bool {
+    pub fn admits(&mut self, now: Millis, it: TargetIncarnation<'_>, sent: Millis) -> bool {
         let later = self.limit(it).is_some_and(|it| it.since() > sent);
         self.takes(now, it) && (!later || self.spend(now, it.name))
     }
@@ -114,7 +119,7 @@
 
     /// Takes a request, to be sent within `most` milliseconds, out of this entry's part of
     /// the limit of a target that may get work.
-    pub fn reserve(&mut self, now: Millis, it: Life<'_>, most: Millis) -> Turn {
+    pub fn reserve(&mut self, now: Millis, it: TargetIncarnation<'_>, most: Millis) -> Turn {
         if self.is_past(it) || !self.open_for(now, it.name) {
             return Turn::Never;
         }
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -9,7 +9,7 @@
 
 use sablepass_core::balance;
 use sablepass_core::declaration::Kind;
-use sablepass_core::id::{Life, Millis};
+use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::revision::Revision;
 use sablepass_edge::instance::{Instance, Role};
 use sablepass_edge::mesh::Listing;
@@ -107,7 +107,7 @@
                 self.listed.remove(name);
                 self.members.unlisted(name);
             }
-            let life = Life { name, born: it.born };
+            let life = TargetIncarnation { name, born: it.born };
             if self.notices.listed(now, life) {
                 changes.rested.push(name.clone());
             }
--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -3,38 +3,43 @@
 
 //! What targets said of themselves to this entry, and what that leaves of a service.
 
-use sablepass_core::id::{Life, Millis};
+use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::membership::Source;
 
 use crate::targets::{Served, Targets};
 
 impl Targets {
     /// The present life of a target.
-    pub(super) fn life<'a>(&self, name: &'a str) -> Life<'a> {
-        Life { name, born: self.born(name) }
+    pub(super) fn life<'a>(&self, name: &'a str) -> TargetIncarnation<'a> {
+        TargetIncarnation { name, born: self.born(name) }
     }
 
     /// Records that a target wants nothing for so long. Whether it rests only since now.
-    pub fn asked_for_rest(&mut self, now: Millis, it: Life<'_>, asked: Millis) -> bool {
+    pub fn asked_for_rest(
+        &mut self,
+        now: Millis,
+        it: TargetIncarnation<'_>,
+        asked: Millis,
+    ) -> bool {
         let begins = !self.is_past(it) && self.notices.rest(now, it, asked);
         self.note_listing(now, it.name);
         begins
     }
 
     /// Records that a target leaves. Whether that is new.
-    pub fn said_it_leaves(&mut self, now: Millis, it: Life<'_>) -> bool {
+    pub fn said_it_leaves(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         let begins = !self.is_past(it) && self.notices.leave(now, it);
         self.note_listing(now, it.name);
         begins
     }
 
     /// Whether what another process tells of a target is kept.
-    pub fn keeps_word(&self, it: Life<'_>) -> bool {
+    pub fn keeps_word(&self, it: TargetIncarnation<'_>) -> bool {
         self.listed.contains_key(it.name) || self.notices.has_room(it.name)
     }
 
     /// Whether a life of a target is over, and another one listed.
-    pub(super) fn is_past(&self, it: Life<'_>) -> bool {
+    pub(super) fn is_past(&self, it: TargetIncarnation<'_>) -> bool {
         self.listed.get(it.name).is_some_and(|known| known.instance.born != it.born)
     }
 
@@ -45,27 +50,27 @@
     }
 
     /// Whether a request may go to a target, by what that said of itself and by the list.
-    pub fn takes(&self, now: Millis, it: Life<'_>) -> bool {
+    pub fn takes(&self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         !self.has_left(now, it) && self.notices.rests(now, it).is_none()
     }
 
     /// The lives of targets that said that they leave.
-    pub fn left(&self) -> impl Iterator<Item = Life<'_>> {
+    pub fn left(&self) -> impl Iterator<Item = TargetIncarnation<'_>> {
         self.notices.leaving()
     }
 
     /// Whether a life of a target said that it leaves, or its line was removed.
-    pub fn has_left(&self, now: Millis, it: Life<'_>) -> bool {
+    pub fn has_left(&self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         self.notices.leaves(it) || self.is_gone(now, it.name)
     }
 
     /// Whether a target had asked for a rest, that goes on, before a request was sent there.
-    pub fn rested_before(&self, now: Millis, it: Life<'_>, sent: Millis) -> bool {
+    pub fn rested_before(&self, now: Millis, it: TargetIncarnation<'_>, sent: Millis) -> bool {
         self.notices.rests_since(now, it).is_some_and(|since| sent > since)
     }
 
     /// Whether a target was known to leave before a request was sent there.
-    pub fn left_before(&self, it: Life<'_>, sent: Millis) -> bool {
+    pub fn left_before(&self, it: TargetIncarnation<'_>, sent: Millis) -> bool {
         let gone = self.listed.get(it.name).and_then(|it| it.missing).map(|it| it.gone);
         let since = self.notices.leaves_since(it).into_iter().chain(gone).min();
         since.is_some_and(|since| sent > since)
--- a/crates/sablepass-wire/src/notices.rs
+++ b/crates/sablepass-wire/src/notices.rs
@@ -4,7 +4,7 @@
 //! What entries tell each other of targets: which said that they leave, and what they
 //! take from all entries together.
 
-use sablepass_core::id::Life;
+use sablepass_core::id::TargetIncarnation;
 use sablepass_core::limits::Rate;
 
 use crate::convert::Error;
@@ -12,13 +12,13 @@
 use crate::generated::frame::Body;
 
 /// A limit as told; none if the target names none any more.
-pub type Limit<'a> = (Life<'a>, Option<Rate>);
+pub type Limit<'a> = (TargetIncarnation<'a>, Option<Rate>);
 
 /// What a message tells.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told<'a> {
     /// Lives of targets that leave.
-    pub leaving: Vec<Life<'a>>,
+    pub leaving: Vec<TargetIncarnation<'a>>,
     /// Limits.
     pub limits: Vec<Limit<'a>>,
 }
@@ -31,7 +31,8 @@
 
     /// The message.
     pub fn body(&self) -> Body {
-        let notice = |it: &Life<'_>| wire::Notice { target: it.name.to_owned(), born: it.born };
+        let notice =
+            |it: &TargetIncarnation<'_>| wire::Notice { target: it.name.to_owned(), born: it.born };
         let limit = |(it, rate): &Limit<'_>| wire::Limit {
             target: it.name.to_owned(),
             born: it.born,
@@ -46,7 +47,7 @@
 
 /// Reads a message.
 pub fn parse(it: &wire::Notices) -> Result<Told<'_>, Error> {
-    let leaving: Result<Vec<Life<'_>>, Error> =
+    let leaving: Result<Vec<TargetIncarnation<'_>>, Error> =
         it.notices.iter().map(|it| life("notice", &it.target, it.born)).collect();
     let limits: Result<Vec<Limit<'_>>, Error> = it.limits.iter().map(limit).collect();
     Ok(Told { leaving: leaving?, limits: limits? })
@@ -57,11 +58,15 @@
 }
 
 /// Reads a life of a target.
-pub(crate) fn life<'a>(message: &'static str, name: &'a str, born: u64) -> Result<Life<'a>, Error> {
+pub(crate) fn life<'a>(
+    message: &'static str,
+    name: &'a str,
+    born: u64,
+) -> Result<TargetIncarnation<'a>, Error> {
     if name.is_empty() {
         return Err(Error::Field { message, field: "target" });
     }
-    Ok(Life { name, born })
+    Ok(TargetIncarnation { name, born })
 }
 
 /// Reads a rate, if there is one.
--- a/crates/sablepass-wire/src/turns.rs
+++ b/crates/sablepass-wire/src/turns.rs
@@ -3,7 +3,7 @@
 
 //! How an entry asks another one, that holds a target's limit, when it may send a request.
 
-use sablepass_core::id::{Life, Millis, RequestId};
+use sablepass_core::id::{Millis, RequestId, TargetIncarnation};
 use sablepass_core::limits::Turn;
 
 use crate::convert::{self, Error};
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask<'a> {
     /// Where the request is to be sent.
-    pub target: Life<'a>,
+    pub target: TargetIncarnation<'a>,
     /// The request.
     pub request: RequestId,
     /// The longest wait of any use, in milliseconds.
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -8,7 +8,7 @@
 use sablepass_core::config::{Delta, Document, Pull, Version, What, Whole};
 use sablepass_core::expert::demand;
 use sablepass_core::flight::{Event, Verdict};
-use sablepass_core::id::{AttemptId, Life, RequestId};
+use sablepass_core::id::{AttemptId, RequestId, TargetIncarnation};
 use sablepass_core::limits::{Rate, Turn};
 use sablepass_core::once::AttemptState;
 use sablepass_core::outcome::{Failure, Ran};
@@ -168,10 +168,10 @@
 
 #[test]
 fn verify_limits_and_turns_come_back_as_they_were_told() {
-    let life = Life { name: "i-1", born: 7 };
+    let life = TargetIncarnation { name: "i-1", born: 7 };
     let told = notices::Told {
         leaving: vec![life],
-        limits: vec![(life, Rate::new(0.25)), (Life { name: "i-2", born: 0 }, None)],
+        limits: vec![(life, Rate::new(0.25)), (TargetIncarnation { name: "i-2", born: 0 }, None)],
     };
     let Body::Notices(it) = told.body() else { panic!("notices") };
     assert_eq!(notices::parse(&it).expect("parses"), told);
