--- a/crates/sablepass-core/src/holders.rs
+++ b/crates/sablepass-core/src/holders.rs
@@ -122,5 +122,5 @@
 }
 
 fn key(it: TargetIncarnation<'_>) -> String {
-    format!("{}/{}", it.name, it.born)
+    format!("{}/{}", it.name, it.started_at)
 }
--- a/crates/sablepass-core/src/id.rs
+++ b/crates/sablepass-core/src/id.rs
@@ -49,5 +49,5 @@
     pub name: &'a str,
     /// Start time of the incarnation. 0 if the target doesn't announce it; then each incarnation
     /// has a name of its own.
-    pub born: Millis,
+    pub started_at: Millis,
 }
--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -113,16 +113,16 @@
     }
 
     fn open(&mut self, it: TargetIncarnation<'_>) -> &mut Notice {
-        let fresh = Notice { born: it.born, ..Notice::default() };
+        let fresh = Notice { born: it.started_at, ..Notice::default() };
         let notice = self.notices.entry(it.name.to_owned()).or_insert(fresh);
-        if notice.born != it.born {
+        if notice.born != it.started_at {
             *notice = fresh;
         }
         notice
     }
 
     fn get(&self, it: TargetIncarnation<'_>) -> Option<&Notice> {
-        self.notices.get(it.name).filter(|known| known.born == it.born)
+        self.notices.get(it.name).filter(|known| known.born == it.started_at)
     }
 
     /// Until when a target rests, if it does.
@@ -154,12 +154,16 @@
     pub fn listed(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         let Some(notice) = self.notices.get_mut(it.name) else { return false };
         notice.unlisted = None;
-        if notice.born == it.born {
+        if notice.born == it.started_at {
             return false;
         }
         let rested = now < notice.until;
         // The list may learn late of the life that said it.
-        let own = if notice.born < it.born { notice.said_by(it.born) } else { Notice::default() };
+        let own = if notice.born < it.started_at {
+            notice.said_by(it.started_at)
+        } else {
+            Notice::default()
+        };
         let rests = now < own.until;
         if own.holds(now) {
             *notice = own;
@@ -229,7 +233,7 @@
     ) -> Change {
         let known = self.get(it).is_some_and(|it| it.limit.is_some());
         let Some(rate) = rate.filter(|_| !known) else {
-            let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born);
+            let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.started_at);
             return notice.map_or(Change::None, |known| known.change(now, it, holders, change));
         };
         let mut limit = Limit::begin(now, rate);
@@ -242,7 +246,7 @@
     pub fn settle(&mut self, now: Millis, holders: &Holders) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, notice) in &mut self.notices {
-            let life = TargetIncarnation { name, born: notice.born };
+            let life = TargetIncarnation { name, started_at: notice.born };
             let change = notice.change(now, life, holders, |limit| limit.settle(now));
             if change != Change::None {
                 changes.push((name.clone(), change));
@@ -254,7 +258,7 @@
     /// Shares all limits out anew: other entries hold them.
     pub fn share(&mut self, now: Millis, holders: &Holders) {
         for (name, notice) in &mut self.notices {
-            let life = TargetIncarnation { name, born: notice.born };
+            let life = TargetIncarnation { name, started_at: notice.born };
             notice.share(now, life, holders);
         }
     }
@@ -278,21 +282,21 @@
         it: TargetIncarnation<'_>,
         most: Millis,
     ) -> Option<Turn> {
-        let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born)?;
+        let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.started_at)?;
         Some(notice.limit.as_mut()?.bucket.reserve(now, most))
     }
 
     /// The lives that name a limit.
     pub fn limits(&self) -> impl Iterator<Item = (TargetIncarnation<'_>, &Limit)> {
         self.notices.iter().filter_map(|(name, it)| {
-            Some((TargetIncarnation { name, born: it.born }, it.limit.as_ref()?))
+            Some((TargetIncarnation { name, started_at: it.born }, it.limit.as_ref()?))
         })
     }
 
     /// The lives that said that they leave.
     pub fn leaving(&self) -> impl Iterator<Item = TargetIncarnation<'_>> {
         let leaving = self.notices.iter().filter(|it| it.1.leaves.is_some());
-        leaving.map(|(name, it)| TargetIncarnation { name, born: it.born })
+        leaving.map(|(name, it)| TargetIncarnation { name, started_at: it.born })
     }
 
     /// Targets that rest.
--- a/crates/sablepass-core/tests/holders.rs
+++ b/crates/sablepass-core/tests/holders.rs
@@ -11,7 +11,7 @@
 use sablepass_core::limits::{Bucket, Rate};
 use sablepass_core::sharers::Sharers;
 
-const LIFE: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
+const LIFE: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", started_at: 100 };
 /// Milliseconds between two looks of an entry at the others, and at its requests.
 const LOOK: Millis = 100;
 const STEP: Millis = 5;
--- a/crates/sablepass-core/tests/limit.rs
+++ b/crates/sablepass-core/tests/limit.rs
@@ -10,8 +10,8 @@
 use sablepass_core::limits::{Change, Rate, Turn};
 use sablepass_core::notices::Notices;
 
-const FIRST: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
-const NEXT: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 200 };
+const FIRST: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", started_at: 100 };
+const NEXT: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", started_at: 200 };
 
 fn rate(a_second: f64) -> Rate {
     Rate::new(a_second).expect("a rate")
@@ -170,7 +170,7 @@
         if notices.has_room(&name) {
             notices.told(
                 3_000,
-                TargetIncarnation { name: &name, born: 0 },
+                TargetIncarnation { name: &name, started_at: 0 },
                 Some(rate(1.0)),
                 &holders,
             );
--- a/crates/sablepass-core/tests/notices.rs
+++ b/crates/sablepass-core/tests/notices.rs
@@ -9,8 +9,8 @@
 use sablepass_core::limits::Rate;
 use sablepass_core::notices::Notices;
 
-const FIRST: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
-const NEXT: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 200 };
+const FIRST: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", started_at: 100 };
+const NEXT: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", started_at: 200 };
 
 /// What an entry hears of one life of a target, and how much later than the step before.
 #[derive(Clone, Debug)]
@@ -99,7 +99,9 @@
 /// The list may name a life long after it began: what a target said meanwhile, this life said.
 #[test]
 fn verify_a_word_outlasts_a_list_that_learns_late_of_its_life() {
-    for (said, leaves) in [(60_000, true), (NEXT.born + 1_000, false), (NEXT.born - 50, false)] {
+    for (said, leaves) in
+        [(60_000, true), (NEXT.started_at + 1_000, false), (NEXT.started_at - 50, false)]
+    {
         let mut notices = Notices::default();
         notices.leave(said, FIRST);
         notices.listed(said + 10, NEXT);
@@ -114,7 +116,7 @@
 fn verify_each_word_outlasts_a_list_that_learns_late_of_its_life() {
     let holders = Holders::open("entry-1");
     let rate = Rate::new(2.0).expect("a rate");
-    let (early, late) = (NEXT.born + 10, 60_000);
+    let (early, late) = (NEXT.started_at + 10, 60_000);
     for (rests, limited) in [(early, late), (late, early), (late, late), (early, early)] {
         let mut notices = Notices::default();
         notices.rest(rests, FIRST, 200_000);
@@ -137,7 +139,7 @@
         assert!(notices.is_empty(), "round {round}: {}", notices.len());
         let names: Vec<String> = (0..5_000).map(|it| format!("i-{round}-{it}")).collect();
         for name in &names {
-            let life = TargetIncarnation { name, born: 0 };
+            let life = TargetIncarnation { name, started_at: 0 };
             notices.leave(1, life);
             notices.rest(now, life, u64::MAX);
             notices.unlisted(now + 1, name);
--- a/crates/sablepass-core/tests/sharing.rs
+++ b/crates/sablepass-core/tests/sharing.rs
@@ -9,7 +9,7 @@
 use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::limits::{Bucket, Rate, Turn};
 
-const LIFE: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", born: 100 };
+const LIFE: TargetIncarnation<'static> = TargetIncarnation { name: "i-1", started_at: 100 };
 /// Milliseconds of a span in which requests are counted, and of a run.
 const SPAN: Millis = 4_000;
 const LASTS: Millis = 60_000;
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -99,13 +99,17 @@
         let now = clock::now();
         let meta = answer::decode(now, head);
         let Some(life) = self.pool.target(key) else { return };
-        let (target, born) = (life.name.to_owned(), life.born);
+        let (target, born) = (life.name.to_owned(), life.started_at);
         if meta.leaving
-            && self.target_leaves(now, TargetIncarnation { name: &target, born }, Source::Seen)
+            && self.target_leaves(
+                now,
+                TargetIncarnation { name: &target, started_at: born },
+                Source::Seen,
+            )
         {
-            self.tell_leaving(TargetIncarnation { name: &target, born });
+            self.tell_leaving(TargetIncarnation { name: &target, started_at: born });
         }
-        self.check_wishes(now, carried, TargetIncarnation { name: &target, born });
+        self.check_wishes(now, carried, TargetIncarnation { name: &target, started_at: born });
         if let Some(load) = meta.load {
             self.targets.told(now, &target, load.running + load.waiting);
         }
@@ -113,12 +117,17 @@
         for field in answer::unread(head.headers()) {
             self.unread.note(&self.log, &self.metrics, &target, field);
         }
-        self.names_limit(now, carried, TargetIncarnation { name: &target, born }, meta.limit);
+        self.names_limit(
+            now,
+            carried,
+            TargetIncarnation { name: &target, started_at: born },
+            meta.limit,
+        );
         if meta.rest != Rest::None || meta.proof != Proof::None {
             self.turned_away(
                 now,
                 carried,
-                TargetIncarnation { name: &target, born },
+                TargetIncarnation { name: &target, started_at: born },
                 status,
                 &meta,
             );
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -60,7 +60,7 @@
             Step::TurnedAway { target: it.name.to_owned(), rest },
         );
         let label = self.open.get(&carried.request).map(|it| it.run.label.as_str());
-        slog::info!(self.log, "turned away"; "id" => label, "target" => it.name, "born" => it.born,
+        slog::info!(self.log, "turned away"; "id" => label, "target" => it.name, "born" => it.started_at,
             "attempt" => carried.attempt, "status" => status, "not_run" => meta.proof == Proof::NotRun,
             "asked" => asked, "rest" => rest, "begins" => begins, "load" => ?meta.load);
     }
@@ -105,11 +105,11 @@
             Change::None => {}
             Change::Holds(rate) => {
                 let part = self.targets.limit(it).map(|it| it.bucket.a_second());
-                slog::info!(self.log, "limit holds"; "target" => it.name, "born" => it.born,
+                slog::info!(self.log, "limit holds"; "target" => it.name, "born" => it.started_at,
                     "limit" => rate.a_second(), "part" => part, "source" => source, "id" => label);
             }
             Change::Ends => slog::info!(self.log, "limit ends"; "target" => it.name,
-                "born" => it.born, "source" => source, "id" => label),
+                "born" => it.started_at, "source" => source, "id" => label),
         }
     }
 
@@ -127,7 +127,7 @@
     pub(crate) fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) {
         let change = self.targets.reported_limit(now, name, rate);
         let born = self.targets.born(name);
-        self.limit_changed(TargetIncarnation { name, born }, change, None, "agent");
+        self.limit_changed(TargetIncarnation { name, started_at: born }, change, None, "agent");
     }
 
     /// Believes what other entries told of limits, once nothing has spoken against it for a
@@ -135,7 +135,12 @@
     pub(crate) fn settle_limits(&mut self, now: Millis) {
         for (name, change) in self.targets.settle_limits(now) {
             let born = self.targets.born(&name);
-            self.limit_changed(TargetIncarnation { name: &name, born }, change, None, "told");
+            self.limit_changed(
+                TargetIncarnation { name: &name, started_at: born },
+                change,
+                None,
+                "told",
+            );
         }
         let (mut all, mut own) = (0.0, 0.0);
         for (_, it) in self.targets.limits() {
@@ -154,12 +159,12 @@
         if self.targets.left_before(it, open.sent) {
             self.metrics.sent_to_leaving.inc();
             slog::error!(self.log, "sent to a target that leaves"; "id" => &open.run.label,
-                "target" => it.name, "born" => it.born, "sent" => open.sent);
+                "target" => it.name, "born" => it.started_at, "sent" => open.sent);
         }
         if self.targets.rested_before(now, it, open.sent) {
             self.metrics.sent_to_resting.inc();
             slog::error!(self.log, "sent to a target that rests"; "id" => &open.run.label,
-                "target" => it.name, "born" => it.born, "sent" => open.sent);
+                "target" => it.name, "born" => it.started_at, "sent" => open.sent);
         }
     }
 
@@ -173,7 +178,7 @@
         let begins = self.targets.said_it_leaves(now, it);
         if begins {
             self.metrics.left.with_label_values(&[source.label()]).inc();
-            slog::info!(self.log, "target leaves"; "target" => it.name, "born" => it.born,
+            slog::info!(self.log, "target leaves"; "target" => it.name, "born" => it.started_at,
                 "source" => source.label());
             self.pool.leave(it.name);
         }
--- a/crates/sablepass-entry/src/pool.rs
+++ b/crates/sablepass-entry/src/pool.rs
@@ -157,7 +157,7 @@
 
     /// The target at the other end, in the life that the connection was made to.
     pub fn target(&self, key: ConnectionKey) -> Option<TargetIncarnation<'_>> {
-        self.open.get(&key).map(|it| TargetIncarnation { name: &it.target, born: it.born })
+        self.open.get(&key).map(|it| TargetIncarnation { name: &it.target, started_at: it.born })
     }
 
     /// Leaves the request that a connection carries; the rest of the answer is
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -107,7 +107,7 @@
                 self.listed.remove(name);
                 self.members.unlisted(name);
             }
-            let life = TargetIncarnation { name, born: it.born };
+            let life = TargetIncarnation { name, started_at: it.born };
             if self.notices.listed(now, life) {
                 changes.rested.push(name.clone());
             }
--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -11,7 +11,7 @@
 impl Targets {
     /// The present life of a target.
     pub(super) fn life<'a>(&self, name: &'a str) -> TargetIncarnation<'a> {
-        TargetIncarnation { name, born: self.born(name) }
+        TargetIncarnation { name, started_at: self.born(name) }
     }
 
     /// Records that a target wants nothing for so long. Whether it rests only since now.
@@ -40,7 +40,7 @@
 
     /// Whether a life of a target is over, and another one listed.
     pub(super) fn is_past(&self, it: TargetIncarnation<'_>) -> bool {
-        self.listed.get(it.name).is_some_and(|known| known.instance.born != it.born)
+        self.listed.get(it.name).is_some_and(|known| known.instance.born != it.started_at)
     }
 
     pub(super) fn note_listing(&mut self, now: Millis, name: &str) {
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -47,7 +47,7 @@
 impl Given {
     /// The life of the target whose limit it was taken from.
     pub(crate) fn life(&self) -> TargetIncarnation<'_> {
-        TargetIncarnation { name: &self.target, born: self.born }
+        TargetIncarnation { name: &self.target, started_at: self.born }
     }
 }
 
@@ -128,7 +128,8 @@
         let turn = |it: &String| Some((self.targets.next_turn(now, it)?, it.clone()));
         let Some((_, target)) = limited.iter().filter_map(turn).min() else { return false };
         let born = self.targets.born(&target);
-        match self.targets.reserve(now, TargetIncarnation { name: &target, born }, most) {
+        match self.targets.reserve(now, TargetIncarnation { name: &target, started_at: born }, most)
+        {
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["own"]).inc();
                 self.give_turn(now, id, Given { target, born, at: now + wait });
@@ -167,7 +168,7 @@
             return false;
         }
         let (target, peer) = asked[self.rng.random_range(0..asked.len())];
-        let life = TargetIncarnation { name: target, born: self.targets.born(target) };
+        let life = TargetIncarnation { name: target, started_at: self.targets.born(target) };
         call!([self.mesh], send(peer, turns::ask(Ask { target: life, request: id, most })));
         if let Some(open) = self.open.get_mut(&id) {
             open.sought = true;
@@ -179,7 +180,7 @@
 
     fn refuse_turn(&mut self, cx: CX![], now: Millis, id: RequestId, limited: &[String]) {
         let every = |it: &String| {
-            let life = TargetIncarnation { name: it, born: self.targets.born(it) };
+            let life = TargetIncarnation { name: it, started_at: self.targets.born(it) };
             let limit = self.targets.limit(life)?;
             Some(limit.rate().usable().a_second())
         };
--- a/crates/sablepass-wire/src/notices.rs
+++ b/crates/sablepass-wire/src/notices.rs
@@ -31,11 +31,13 @@
 
     /// The message.
     pub fn body(&self) -> Body {
-        let notice =
-            |it: &TargetIncarnation<'_>| wire::Notice { target: it.name.to_owned(), born: it.born };
+        let notice = |it: &TargetIncarnation<'_>| wire::Notice {
+            target: it.name.to_owned(),
+            born: it.started_at,
+        };
         let limit = |(it, rate): &Limit<'_>| wire::Limit {
             target: it.name.to_owned(),
-            born: it.born,
+            born: it.started_at,
             rate: rate.map(Rate::a_second),
         };
         Body::Notices(wire::Notices {
@@ -66,7 +68,7 @@
     if name.is_empty() {
         return Err(Error::Field { message, field: "target" });
     }
-    Ok(TargetIncarnation { name, born })
+    Ok(TargetIncarnation { name, started_at: born })
 }
 
 /// Reads a rate, if there is one.
--- a/crates/sablepass-wire/src/turns.rs
+++ b/crates/sablepass-wire/src/turns.rs
@@ -38,7 +38,7 @@
 pub fn ask(it: Ask<'_>) -> Body {
     Body::TurnAsk(wire::TurnAsk {
         target: it.target.name.to_owned(),
-        born: it.target.born,
+        born: it.target.started_at,
         request: convert::request_bytes(it.request),
         most: u32::try_from(it.most).unwrap_or(u32::MAX),
     })
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -168,10 +168,13 @@
 
 #[test]
 fn verify_limits_and_turns_come_back_as_they_were_told() {
-    let life = TargetIncarnation { name: "i-1", born: 7 };
+    let life = TargetIncarnation { name: "i-1", started_at: 7 };
     let told = notices::Told {
         leaving: vec![life],
-        limits: vec![(life, Rate::new(0.25)), (TargetIncarnation { name: "i-2", born: 0 }, None)],
+        limits: vec![
+            (life, Rate::new(0.25)),
+            (TargetIncarnation { name: "i-2", started_at: 0 }, None),
+        ],
     };
     let Body::Notices(it) = told.body() else { panic!("notices") };
     assert_eq!(notices::parse(&it).expect("parses"), told);
