--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use sablepass_core::catalogue::Catalogue;
-use sablepass_core::gate::{Decision, End, Gate};
+use sablepass_core::gate::{Completion, Decision, Gate};
 use sablepass_core::id::{AttemptId, Incarnation, Millis};
-use sablepass_core::once::{Answer, Key, Mark};
+use sablepass_core::once::{Answer, AttemptState, Key};
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::{Ignored, Refusal};
 use sablepass_edge::clock;
@@ -104,7 +104,7 @@
         handles: Handles,
     ) -> Option<Self> {
         let Handles { mesh, target, parts, engine } = handles;
-        let gate = Gate::open(settings.gate(), me, &settings.node.name, clock::now());
+        let gate = Gate::new(settings.gate(), me, &settings.node.name, clock::now());
         let mut keeper = Self {
             gate,
             log,
@@ -356,9 +356,9 @@
     }
 
     fn probe(&mut self, peer: PeerKey, attempt: AttemptId) {
-        let mark = self.gate.probe(clock::now(), attempt);
-        self.send(Some(peer), convert::verdict(attempt, mark));
-        if mark == Mark::Blocked {
+        let state = self.gate.probe(clock::now(), attempt);
+        self.send(Some(peer), convert::verdict(attempt, state));
+        if state == AttemptState::Blocked {
             return;
         }
         let Some(active) = self.active.get_mut(&attempt).filter(|it| it.whole) else {
@@ -406,15 +406,15 @@
 }
 
 /// How an attempt ended, for the gate: a kept answer must be whole.
-fn end_of(active: &Active, result: Result<(), Failure>) -> End {
+fn end_of(active: &Active, result: Result<(), Failure>) -> Completion {
     match (result, &active.head) {
-        (Err(Failure { ran: Ran::NotRun, .. }), _) => End::NotRun,
-        (Ok(()), Some((status, content_type))) if active.whole => End::Whole(Answer {
+        (Err(Failure { ran: Ran::NotRun, .. }), _) => Completion::NotRun,
+        (Ok(()), Some((status, content_type))) if active.whole => Completion::Complete(Answer {
             status: *status,
             content_type: content_type.clone(),
             body: active.kept.clone(),
         }),
-        _ => End::Broken,
+        _ => Completion::Incomplete,
     }
 }
 
--- a/crates/sablepass-agent/src/settings.rs
+++ b/crates/sablepass-agent/src/settings.rs
@@ -62,7 +62,7 @@
 }
 
 fn default_limit() -> usize {
-    gate::Options::default().limit
+    gate::Options::default().max_requests
 }
 
 fn default_heartbeat() -> u64 {
@@ -70,11 +70,11 @@
 }
 
 fn default_keep() -> u64 {
-    once::Options::default().keep
+    once::Options::default().retention
 }
 
 fn default_handover() -> u64 {
-    gate::Options::default().handover
+    gate::Options::default().handover_margin
 }
 
 fn default_read() -> u64 {
@@ -106,8 +106,8 @@
 impl Settings {
     /// Options of the gate.
     pub fn gate(&self) -> gate::Options {
-        let once = once::Options { keep: self.keep, ..once::Options::default() };
-        let (limit, handover) = (self.limit, self.handover);
-        gate::Options { limit, handover, once, ..gate::Options::default() }
+        let once = once::Options { retention: self.keep, ..once::Options::default() };
+        let (max_requests, handover_margin) = (self.limit, self.handover);
+        gate::Options { max_requests, handover_margin, once, ..gate::Options::default() }
     }
 }
--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 
 use crate::holders::Holders;
-use crate::id::{Life, Millis};
+use crate::id::{Millis, TargetIncarnation};
 use crate::limits::{Change, Limit, Rate, Turn};
 
 /// How long a notice is kept of a target that the list names no more. On the users' platform
@@ -61,7 +61,7 @@
     fn change(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
     ) -> Change {
@@ -78,7 +78,7 @@
     }
 
     /// Works out this entry's part of the limit.
-    fn share(&mut self, now: Millis, it: Life<'_>, holders: &Holders) {
+    fn share(&mut self, now: Millis, it: TargetIncarnation<'_>, holders: &Holders) {
         if let Some(limit) = &mut self.limit {
             let part = holders.part(it, limit.rate());
             limit.bucket.set(now, part);
@@ -94,7 +94,7 @@
 
 impl Notices {
     /// Records that a target wants nothing for so long. Whether it rests only since now.
-    pub fn rest(&mut self, now: Millis, it: Life<'_>, asked: Millis) -> bool {
+    pub fn rest(&mut self, now: Millis, it: TargetIncarnation<'_>, asked: Millis) -> bool {
         let notice = self.open(it);
         let begins = now >= notice.until;
         if begins {
@@ -105,43 +105,43 @@
     }
 
     /// Records that a target leaves. Whether that is new.
-    pub fn leave(&mut self, now: Millis, it: Life<'_>) -> bool {
+    pub fn leave(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         let leaves = &mut self.open(it).leaves;
         let begins = leaves.is_none();
         leaves.get_or_insert(now);
         begins
     }
 
-    fn open(&mut self, it: Life<'_>) -> &mut Notice {
-        let fresh = Notice { born: it.born, ..Notice::default() };
+    fn open(&mut self, it: TargetIncarnation<'_>) -> &mut Notice {
+        let fresh = Notice { born: it.started_at, ..Notice::default() };
         let notice = self.notices.entry(it.name.to_owned()).or_insert(fresh);
-        if notice.born != it.born {
+        if notice.born != it.started_at {
             *notice = fresh;
         }
         notice
     }
 
-    fn get(&self, it: Life<'_>) -> Option<&Notice> {
-        self.notices.get(it.name).filter(|known| known.born == it.born)
+    fn get(&self, it: TargetIncarnation<'_>) -> Option<&Notice> {
+        self.notices.get(it.name).filter(|known| known.born == it.started_at)
     }
 
     /// Until when a target rests, if it does.
-    pub fn rests(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
+    pub fn rests(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Millis> {
         self.get(it).map(|it| it.until).filter(|until| now < *until)
     }
 
     /// Since when a target rests, if it does.
-    pub fn rests_since(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
+    pub fn rests_since(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Millis> {
         self.get(it).filter(|it| now < it.until).map(|it| it.since)
     }
 
     /// Whether a target leaves.
-    pub fn leaves(&self, it: Life<'_>) -> bool {
+    pub fn leaves(&self, it: TargetIncarnation<'_>) -> bool {
         self.leaves_since(it).is_some()
     }
 
     /// Since when a target is known to leave, if it is.
-    pub fn leaves_since(&self, it: Life<'_>) -> Option<Millis> {
+    pub fn leaves_since(&self, it: TargetIncarnation<'_>) -> Option<Millis> {
         self.get(it)?.leaves
     }
 
@@ -151,15 +151,19 @@
     }
 
     /// Records that the list names a target. True if that ends a rest: it is another life.
-    pub fn listed(&mut self, now: Millis, it: Life<'_>) -> bool {
+    pub fn listed(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         let Some(notice) = self.notices.get_mut(it.name) else { return false };
         notice.unlisted = None;
-        if notice.born == it.born {
+        if notice.born == it.started_at {
             return false;
         }
         let rested = now < notice.until;
         // The list may learn late of the life that said it.
-        let own = if notice.born < it.born { notice.said_by(it.born) } else { Notice::default() };
+        let own = if notice.born < it.started_at {
+            notice.said_by(it.started_at)
+        } else {
+            Notice::default()
+        };
         let rests = now < own.until;
         if own.holds(now) {
             *notice = own;
@@ -189,7 +193,7 @@
     pub fn answered(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         sent: Millis,
         named: Option<Rate>,
         holders: &Holders,
@@ -201,7 +205,7 @@
     pub fn told(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
@@ -212,7 +216,7 @@
     pub fn reported(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
@@ -222,14 +226,14 @@
     fn limit(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        it: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
     ) -> Change {
         let known = self.get(it).is_some_and(|it| it.limit.is_some());
         let Some(rate) = rate.filter(|_| !known) else {
-            let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born);
+            let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.started_at);
             return notice.map_or(Change::None, |known| known.change(now, it, holders, change));
         };
         let mut limit = Limit::begin(now, rate);
@@ -242,7 +246,7 @@
     pub fn settle(&mut self, now: Millis, holders: &Holders) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, notice) in &mut self.notices {
-            let life = Life { name, born: notice.born };
+            let life = TargetIncarnation { name, started_at: notice.born };
             let change = notice.change(now, life, holders, |limit| limit.settle(now));
             if change != Change::None {
                 changes.push((name.clone(), change));
@@ -254,40 +258,45 @@
     /// Shares all limits out anew: other entries hold them.
     pub fn share(&mut self, now: Millis, holders: &Holders) {
         for (name, notice) in &mut self.notices {
-            let life = Life { name, born: notice.born };
+            let life = TargetIncarnation { name, started_at: notice.born };
             notice.share(now, life, holders);
         }
     }
 
     /// The limit that a target names, if it does.
-    pub fn limited(&self, it: Life<'_>) -> Option<&Limit> {
+    pub fn limited(&self, it: TargetIncarnation<'_>) -> Option<&Limit> {
         self.get(it)?.limit.as_ref()
     }
 
     /// When this entry may send one more request to a target; none if that names no limit.
-    pub fn next(&self, now: Millis, it: Life<'_>) -> Option<Turn> {
+    pub fn next(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Turn> {
         let next = self.limited(it)?.bucket.next(now);
         Some(next.map_or(Turn::Never, Turn::In))
     }
 
     /// Takes a request, to be sent within `most` milliseconds, out of this entry's part of a
     /// target's limit; none if that names no limit.
-    pub fn reserve(&mut self, now: Millis, it: Life<'_>, most: Millis) -> Option<Turn> {
-        let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born)?;
+    pub fn reserve(
+        &mut self,
+        now: Millis,
+        it: TargetIncarnation<'_>,
+        most: Millis,
+    ) -> Option<Turn> {
+        let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.started_at)?;
         Some(notice.limit.as_mut()?.bucket.reserve(now, most))
     }
 
     /// The lives that name a limit.
-    pub fn limits(&self) -> impl Iterator<Item = (Life<'_>, &Limit)> {
-        self.notices
-            .iter()
-            .filter_map(|(name, it)| Some((Life { name, born: it.born }, it.limit.as_ref()?)))
+    pub fn limits(&self) -> impl Iterator<Item = (TargetIncarnation<'_>, &Limit)> {
+        self.notices.iter().filter_map(|(name, it)| {
+            Some((TargetIncarnation { name, started_at: it.born }, it.limit.as_ref()?))
+        })
     }
 
     /// The lives that said that they leave.
-    pub fn leaving(&self) -> impl Iterator<Item = Life<'_>> {
+    pub fn leaving(&self) -> impl Iterator<Item = TargetIncarnation<'_>> {
         let leaving = self.notices.iter().filter(|it| it.1.leaves.is_some());
-        leaving.map(|(name, it)| Life { name, born: it.born })
+        leaving.map(|(name, it)| TargetIncarnation { name, started_at: it.born })
     }
 
     /// Targets that rest.
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -234,17 +234,17 @@
     let request = Request {
         id: RequestId(1),
         deadline: 10_000,
-        attempts: 2,
+        max_attempts: 2,
         unsafe_repeat: false,
         keyed: false,
         stream: true,
-        resume: true,
+        resumable: true,
     };
-    Flight::open(Options::default(), request)
+    Flight::new(Options::default(), request)
 }
 
 fn on(flight: &mut Flight, event: Event) -> Vec<Action> {
-    flight.on(1_000, 0, event, &mut || true)
+    flight.handle_event(1_000, 0, event, &mut || true)
 }
 
 /// A copy that waits has not run; of one that was sent nobody knows; one that
--- a/crates/sablepass-load/src/capacity.rs
+++ b/crates/sablepass-load/src/capacity.rs
@@ -246,8 +246,8 @@
 
 fn once_table(count: u64) {
     let before = memory();
-    let options = once::Options { attempts: count as usize, ..once::Options::default() };
-    let mut table = Table::open(options);
+    let options = once::Options { max_attempts: count as usize, ..once::Options::default() };
+    let mut table = Table::new(options);
     let start = Instant::now();
     for it in 0..count {
         let request = RequestId(u128::from(it) << 64 | u128::from(it));
--- a/crates/sablepass-wire/src/turns.rs
+++ b/crates/sablepass-wire/src/turns.rs
@@ -3,7 +3,7 @@
 
 //! How an entry asks another one, that holds a target's limit, when it may send a request.
 
-use sablepass_core::id::{Life, Millis, RequestId};
+use sablepass_core::id::{Millis, RequestId, TargetIncarnation};
 use sablepass_core::limits::Turn;
 
 use crate::convert::{self, Error};
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask<'a> {
     /// Where the request is to be sent.
-    pub target: Life<'a>,
+    pub target: TargetIncarnation<'a>,
     /// The request.
     pub request: RequestId,
     /// The longest wait of any use, in milliseconds.
@@ -38,7 +38,7 @@
 pub fn ask(it: Ask<'_>) -> Body {
     Body::TurnAsk(wire::TurnAsk {
         target: it.target.name.to_owned(),
-        born: it.target.born,
+        born: it.target.started_at,
         request: convert::request_bytes(it.request),
         most: u32::try_from(it.most).unwrap_or(u32::MAX),
     })
