--- a/crates/sablepass-core/src/duty.rs
+++ b/crates/sablepass-core/src/duty.rs
@@ -6,7 +6,7 @@
 use crate::id::Millis;
 use crate::rendezvous;
 
-/// Limits of [`on_duty`].
+/// Limits of [`is_reader`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Processes of a hall that watch the platform's service. Default 2.
@@ -29,7 +29,7 @@
 /// first ones read. Each further one waits longer for word that somebody's
 /// read succeeded before it tries, so an outage costs the service at most
 /// `readers + substitutes` calls a hall and period.
-pub fn on_duty(options: Options, me: &str, hall: &str, peers: &[&str], age: Millis) -> bool {
+pub fn is_reader(options: Options, me: &str, hall: &str, peers: &[&str], age: Millis) -> bool {
     let ranked = rendezvous::rank(hall, peers.iter().copied());
     let rank = ranked.iter().position(|it| *it == me).unwrap_or(ranked.len());
     if rank < options.readers {
--- a/crates/sablepass-core/tests/config.rs
+++ b/crates/sablepass-core/tests/config.rs
@@ -176,13 +176,13 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let options = duty::Options::default();
     let readers =
-        |age| names.iter().filter(|it| duty::on_duty(options, it, "h", &names, age)).count();
+        |age| names.iter().filter(|it| duty::is_reader(options, it, "h", &names, age)).count();
     assert_eq!(readers(0), 2);
     assert_eq!(readers(options.patience), 3);
     assert_eq!(readers(1_000_000), 8);
     // A reader that the list no longer names is replaced.
-    let first = names.iter().copied().find(|it| duty::on_duty(options, it, "h", &names, 0));
+    let first = names.iter().copied().find(|it| duty::is_reader(options, it, "h", &names, 0));
     let rest: Vec<&str> = names.iter().copied().filter(|it| Some(*it) != first).collect();
-    let left = rest.iter().filter(|it| duty::on_duty(options, it, "h", &rest, 0)).count();
+    let left = rest.iter().filter(|it| duty::is_reader(options, it, "h", &rest, 0)).count();
     assert_eq!(left, 2);
 }
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -599,6 +599,6 @@
         if names.is_empty() {
             names.push(me);
         }
-        duty::on_duty(options, me, hall, &names, self.age(now))
+        duty::is_reader(options, me, hall, &names, self.age(now))
     }
 }
