--- a/crates/sablepass-core/src/budget.rs
+++ b/crates/sablepass-core/src/budget.rs
@@ -28,7 +28,7 @@
 
 impl Budget {
     /// Changes the most that can be saved up, as when it is shared with more processes.
-    pub fn limit(&mut self, burst: f64) {
+    pub fn set_burst(&mut self, burst: f64) {
         self.options.burst = burst;
         self.tokens = self.tokens.min(burst);
     }
--- a/crates/sablepass-core/tests/sharers.rs
+++ b/crates/sablepass-core/tests/sharers.rs
@@ -75,7 +75,7 @@
             sharers.watch(now, met, told);
             let options = share(sharers);
             let budget = budget.get_or_insert_with(|| Budget::open(options));
-            budget.limit(options.burst);
+            budget.set_burst(options.burst);
             while budget.spend() {
                 made += 1;
             }
@@ -143,7 +143,7 @@
         for it in &mut entries {
             let told = (now >= it.started + TOLD).then_some(all);
             it.sharers.watch(now, 1, told);
-            it.budget.limit(options(&it.sharers).burst);
+            it.budget.set_burst(options(&it.sharers).burst);
             if rng.random_bool(rate) {
                 made.0 += 1;
                 it.budget.earn();
--- a/crates/sablepass-entry/src/stops.rs
+++ b/crates/sablepass-entry/src/stops.rs
@@ -45,7 +45,7 @@
             ..fresh
         };
         let burst = self.settings.budget(self.targets.sharers()).burst;
-        self.budgets.values_mut().for_each(|it| it.limit(burst));
+        self.budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
     /// Stops taking work; the process ends when its last answer is written.
