--- a/crates/sablepass-core/src/balance.rs
+++ b/crates/sablepass-core/src/balance.rs
@@ -58,7 +58,7 @@
     /// Qualified target name.
     pub name: &'a str,
     /// In the entry's own hall.
-    pub near: bool,
+    pub same_hall: bool,
     /// Requests it holds at once.
     pub capacity: u32,
     /// Requests that this entry has there now.
@@ -110,7 +110,7 @@
             return least_of_some(rng, &pool, candidates);
         }
         let free: Vec<usize> = pool.iter().copied().filter(|&it| !candidates[it].full()).collect();
-        let near = free.iter().copied().filter(|&it| candidates[it].near).collect();
+        let near = free.iter().copied().filter(|&it| candidates[it].same_hall).collect();
         let open = first_of([near, free, pool]);
         if open.is_empty() {
             return None;
--- a/crates/sablepass-core/tests/crowd.rs
+++ b/crates/sablepass-core/tests/crowd.rs
@@ -106,7 +106,7 @@
                     let it = table.get(name).expect("listed");
                     Candidate {
                         name,
-                        near: false,
+                        same_hall: false,
                         capacity: self.places,
                         own: it.own,
                         others: it.others,
--- a/crates/sablepass-core/tests/routing.rs
+++ b/crates/sablepass-core/tests/routing.rs
@@ -11,8 +11,8 @@
 use sablepass_core::declaration::Priority;
 use sablepass_core::reason::Refusal;
 
-fn candidate(name: &str, near: bool, own: u32) -> Candidate<'_> {
-    Candidate { name, near, capacity: 10, own, others: 0, slow: false }
+fn candidate(name: &str, same_hall: bool, own: u32) -> Candidate<'_> {
+    Candidate { name, same_hall, capacity: 10, own, others: 0, slow: false }
 }
 
 fn choose(policy: Policy, prefix: Option<&str>, all: &[Candidate<'_>]) -> usize {
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -432,7 +432,7 @@
         };
         Some(Candidate {
             name,
-            near: *hall == self.options.hall,
+            same_hall: *hall == self.options.hall,
             capacity,
             own: member.own,
             others: member.others,
