--- a/crates/sablepass-core/src/route.rs
+++ b/crates/sablepass-core/src/route.rs
@@ -73,7 +73,7 @@
 
 impl Route {
     /// Whether its requests must not run more than once.
-    pub fn once(&self) -> bool {
+    pub fn at_most_once(&self) -> bool {
         match self.class {
             Class::Safe => false,
             Class::Unsafe => true,
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -172,7 +172,7 @@
         flight::Request {
             deadline: run.deadline.min(run.arrived + route.timeout),
             attempts: route.attempts,
-            unsafe_repeat: route.once(),
+            unsafe_repeat: route.at_most_once(),
             stream: route.class == Class::Stream,
             resume: route.class == Class::Stream && route.resume,
             ..own
