--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -340,7 +340,7 @@
     fn state(&self) -> State {
         State {
             closed: self.group().is_some_and(|it| !it.open),
-            stands: self.steps.stands(clock::now()),
+            stands: self.steps.is_stalled(clock::now()),
             pace: self.group().map_or(Pace::Sound, |it| Pace::of(it.pace)),
             lag: self.lag(TENTHS),
             refuses: self.refuses,
--- a/crates/sablepass-core/src/pass.rs
+++ b/crates/sablepass-core/src/pass.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether the group stands: a step is held, or a rank does not answer.
-    pub fn stands(&self, now: Millis) -> bool {
+    pub fn is_stalled(&self, now: Millis) -> bool {
         self.since.is_some_and(|since| now >= since + STANDS)
     }
 }
--- a/crates/sablepass-core/tests/starts.rs
+++ b/crates/sablepass-core/tests/starts.rs
@@ -170,9 +170,9 @@
 fn verify_a_group_stands_when_it_makes_no_step_although_there_is_work() {
     let mut steps = Steps::default();
     steps.watch(0, 7, true);
-    assert!(!steps.stands(499) && steps.stands(500));
+    assert!(!steps.is_stalled(499) && steps.is_stalled(500));
     steps.watch(600, 8, true);
-    assert!(!steps.stands(1_099), "it went on");
+    assert!(!steps.is_stalled(1_099), "it went on");
     steps.watch(1_200, 8, false);
-    assert!(!steps.stands(9_000), "an idle group makes no steps");
+    assert!(!steps.is_stalled(9_000), "an idle group makes no steps");
 }
