--- a/crates/sablepass-core/src/holders.rs
+++ b/crates/sablepass-core/src/holders.rs
@@ -54,7 +54,7 @@
     }
 
     /// Takes the names of the other entries.
-    pub fn meet(&mut self, others: impl IntoIterator<Item = String>) {
+    pub fn set_peers(&mut self, others: impl IntoIterator<Item = String>) {
         self.others = others.into_iter().collect();
     }
 
@@ -81,7 +81,7 @@
 
     /// Forgets who there is: this process did not run for a while, and others
     /// may have taken over its parts.
-    pub fn slept(&mut self, now: Millis) {
+    pub fn resumed(&mut self, now: Millis) {
         self.active = false;
         self.whole = false;
         self.since = now;
@@ -108,7 +108,7 @@
     }
 
     /// The other entries that hold a limit.
-    pub fn others(&self, it: Life<'_>, limit: Rate) -> Vec<&str> {
+    pub fn other_holders(&self, it: Life<'_>, limit: Rate) -> Vec<&str> {
         let all = self.shared.iter().map(String::as_str).chain([self.me.as_str()]);
         let ranked = rendezvous::rank(&key(it), all);
         let holders = ranked.into_iter().take(self.count(limit.usable()));
--- a/crates/sablepass-core/tests/holders.rs
+++ b/crates/sablepass-core/tests/holders.rs
@@ -73,13 +73,13 @@
         let slept = self.looked > 0 && now > self.looked + 2 * LOOK;
         self.looked = now;
         if slept {
-            self.holders.slept(now);
+            self.holders.resumed(now);
         }
         let met = |it: &Option<Millis>| it.is_some_and(|at| now < at + SILENCE);
         let names: Vec<String> =
             (0..self.heard.len()).filter(|it| met(&self.heard[*it])).map(name).collect();
         self.sharers.watch(now, names.len() + 1, Some(told));
-        self.holders.meet(names);
+        self.holders.set_peers(names);
         let count = self.sharers.is_known().then(|| self.sharers.count());
         if self.holders.watch(now, count) || slept {
             self.bucket.set(now, self.holders.part(LIFE, limit));
--- a/crates/sablepass-core/tests/sharing.rs
+++ b/crates/sablepass-core/tests/sharing.rs
@@ -25,7 +25,7 @@
 /// The view of one of so many entries, once it is settled.
 fn settled(entry: usize, entries: usize) -> Holders {
     let mut holders = Holders::open(&name(entry));
-    holders.meet((0..entries).filter(|it| *it != entry).map(name));
+    holders.set_peers((0..entries).filter(|it| *it != entry).map(name));
     holders.watch(0, Some(entries));
     holders.watch(2_000, Some(entries));
     holders
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -23,7 +23,7 @@
 
     /// Records that this process did not run for a while.
     pub fn slept(&mut self, now: Millis) {
-        self.holders.slept(now);
+        self.holders.resumed(now);
         self.notices.share(now, &self.holders);
     }
 
@@ -124,7 +124,7 @@
     /// The other entries that hold a target's limit.
     pub fn holders(&self, name: &str) -> Vec<&str> {
         let life = self.life(name);
-        self.limit(life).map_or_else(Vec::new, |it| self.holders.others(life, it.rate()))
+        self.limit(life).map_or_else(Vec::new, |it| self.holders.other_holders(life, it.rate()))
     }
 
     /// Whether this entry is the one of all that does something.
--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -36,7 +36,7 @@
     /// Says which other entries this one knows of by itself.
     pub fn meet(&mut self, others: Vec<String>) {
         self.met = others.len() + 1;
-        self.holders.meet(others);
+        self.holders.set_peers(others);
     }
 
     /// Counts the entries anew, by connections to them and by the agents' word.
