--- a/crates/sablepass-agent/src/leaving.rs
+++ b/crates/sablepass-agent/src/leaving.rs
@@ -66,7 +66,7 @@
             stands: false,
             refuses: self.away.is_some(),
             rest: self.notices.rest(now),
-            limit: self.notices.limit().map(Rate::a_second),
+            limit: self.notices.limit().map(Rate::per_second),
         });
         for peer in self.entries.peers() {
             self.send(Some(peer), report.clone());
--- a/crates/sablepass-agent/src/notices.rs
+++ b/crates/sablepass-agent/src/notices.rs
@@ -89,7 +89,7 @@
         };
         match self.notices.answered(now, it.sent, named) {
             Change::None => return,
-            Change::Holds(rate) => slog::info!(self.log, "limit holds"; "limit" => rate.a_second(),
+            Change::Holds(rate) => slog::info!(self.log, "limit holds"; "limit" => rate.per_second(),
                 "request" => %attempt.request, "attempt" => attempt.number),
             Change::Ends => slog::info!(self.log, "limit ends"; "request" => %attempt.request,
                 "attempt" => attempt.number),
--- a/crates/sablepass-core/src/holders.rs
+++ b/crates/sablepass-core/src/holders.rs
@@ -117,7 +117,7 @@
 
     /// How many entries hold a limit.
     fn count(&self, limit: Rate) -> usize {
-        ((limit.a_second() * BURST) as usize).clamp(1, self.shared.len() + 1)
+        ((limit.per_second() * BURST) as usize).clamp(1, self.shared.len() + 1)
     }
 }
 
--- a/crates/sablepass-core/src/limits.rs
+++ b/crates/sablepass-core/src/limits.rs
@@ -34,12 +34,12 @@
 
 impl Rate {
     /// None if it is no rate.
-    pub fn new(a_second: f64) -> Option<Self> {
-        (a_second.is_finite() && a_second >= 0.0).then_some(Self(a_second))
+    pub fn new(per_second: f64) -> Option<Self> {
+        (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second))
     }
 
     /// Requests a second.
-    pub fn a_second(self) -> f64 {
+    pub fn per_second(self) -> f64 {
         self.0
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Requests a second that it lets through.
-    pub fn a_second(&self) -> f64 {
+    pub fn per_second(&self) -> f64 {
         self.rate * 1_000.0
     }
 }
--- a/crates/sablepass-core/tests/limit.rs
+++ b/crates/sablepass-core/tests/limit.rs
@@ -13,8 +13,8 @@
 const FIRST: Life<'static> = Life { name: "i-1", born: 100 };
 const NEXT: Life<'static> = Life { name: "i-1", born: 200 };
 
-fn rate(a_second: f64) -> Rate {
-    Rate::new(a_second).expect("a rate")
+fn rate(per_second: f64) -> Rate {
+    Rate::new(per_second).expect("a rate")
 }
 
 /// The view of an entry that is alone and knows it.
@@ -26,7 +26,7 @@
 }
 
 fn limit(notices: &Notices) -> Option<f64> {
-    notices.limited(FIRST).map(|it| it.rate().a_second())
+    notices.limited(FIRST).map(|it| it.rate().per_second())
 }
 
 /// Answers take up to half a second; whether the target names its limit is as it was
@@ -88,8 +88,8 @@
                 notices.answered(now, FIRST, now - 1, figure, &holders);
             }
             notices.settle(now, &holders);
-            let part = notices.limited(FIRST).map(|it| (it.rate().usable(), it.bucket.a_second()));
-            part.is_none_or(|(rate, part)| (rate.a_second() - part).abs() < 1e-6)
+            let part = notices.limited(FIRST).map(|it| (it.rate().usable(), it.bucket.per_second()));
+            part.is_none_or(|(rate, part)| (rate.per_second() - part).abs() < 1e-6)
         })
     }
 }
--- a/crates/sablepass-core/tests/sharing.rs
+++ b/crates/sablepass-core/tests/sharing.rs
@@ -14,8 +14,8 @@
 const SPAN: Millis = 4_000;
 const LASTS: Millis = 60_000;
 
-fn rate(a_second: f64) -> Rate {
-    Rate::new(a_second).expect("a rate")
+fn rate(per_second: f64) -> Rate {
+    Rate::new(per_second).expect("a rate")
 }
 
 fn name(entry: usize) -> String {
@@ -94,7 +94,7 @@
 fn play(way: Way, entries: usize, limit: f64, traffic: Traffic) -> Outcome {
     let mut draw = Draw(88_172_645_463_325_252);
     let mut buckets = buckets(way, entries, limit);
-    let holders: Vec<usize> = (0..entries).filter(|it| buckets[*it].a_second() > 0.0).collect();
+    let holders: Vec<usize> = (0..entries).filter(|it| buckets[*it].per_second() > 0.0).collect();
     let (mut sent, mut messages) = (Vec::new(), 0);
     for now in 1..LASTS {
         let mut arrivals = limit * 4.0 / 1_000.0;
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -98,9 +98,9 @@
         match change {
             Change::None => {}
             Change::Holds(rate) => {
-                let part = self.targets.limit(it).map(|it| it.bucket.a_second());
+                let part = self.targets.limit(it).map(|it| it.bucket.per_second());
                 slog::info!(self.log, "limit holds"; "target" => it.name, "born" => it.born,
-                    "limit" => rate.a_second(), "part" => part, "source" => source, "id" => label);
+                    "limit" => rate.per_second(), "part" => part, "source" => source, "id" => label);
             }
             Change::Ends => slog::info!(self.log, "limit ends"; "target" => it.name,
                 "born" => it.born, "source" => source, "id" => label),
@@ -133,8 +133,8 @@
         }
         let (mut all, mut own) = (0.0, 0.0);
         for (_, it) in self.targets.limits() {
-            all += it.rate().a_second();
-            own += it.bucket.a_second();
+            all += it.rate().per_second();
+            own += it.bucket.per_second();
         }
         self.metrics.limits.with_label_values(&["all"]).set(all);
         self.metrics.limits.with_label_values(&["own"]).set(own);
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -135,6 +135,6 @@
     /// Places of a target, as many as a limit lets through.
     pub(super) fn places(&self, name: &str, capacity: f64) -> f64 {
         let limit = self.limit(self.life(name));
-        limit.map_or(capacity, |it| capacity.min(it.rate().a_second() * LASTS))
+        limit.map_or(capacity, |it| capacity.min(it.rate().per_second() * LASTS))
     }
 }
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -181,7 +181,7 @@
         let every = |it: &String| {
             let life = Life { name: it, born: self.targets.born(it) };
             let limit = self.targets.limit(life)?;
-            Some(limit.rate().usable().a_second())
+            Some(limit.rate().usable().per_second())
         };
         let rate: f64 = limited.iter().filter_map(every).sum();
         let every = (SECOND / rate.max(f64::MIN_POSITIVE)).ceil() as Millis;
--- a/crates/sablepass-wire/src/notices.rs
+++ b/crates/sablepass-wire/src/notices.rs
@@ -35,7 +35,7 @@
         let limit = |(it, rate): &Limit<'_>| wire::Limit {
             target: it.name.to_owned(),
             born: it.born,
-            rate: rate.map(Rate::a_second),
+            rate: rate.map(Rate::per_second),
         };
         Body::Notices(wire::Notices {
             notices: self.leaving.iter().map(notice).collect(),
