--- a/crates/sablepass-agent/src/notices.rs
+++ b/crates/sablepass-agent/src/notices.rs
@@ -58,7 +58,7 @@
             (Some(limit), _) => limit.answered(now, sent, named),
             (None, None) => Change::None,
             (None, Some(rate)) => {
-                self.limit = Some(limits::Limit::begin(now, rate));
+                self.limit = Some(limits::Limit::new(now, rate));
                 Change::Holds(rate)
             }
         };
--- a/crates/sablepass-core/src/limits.rs
+++ b/crates/sablepass-core/src/limits.rs
@@ -168,7 +168,7 @@
 
 impl Limit {
     /// One that is named for the first time.
-    pub fn begin(now: Millis, rate: Rate) -> Self {
+    pub fn new(now: Millis, rate: Rate) -> Self {
         Self {
             rate,
             since: now,
--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -232,7 +232,7 @@
             let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born);
             return notice.map_or(Change::None, |known| known.change(now, it, holders, change));
         };
-        let mut limit = Limit::begin(now, rate);
+        let mut limit = Limit::new(now, rate);
         limit.bucket.set(now, holders.part(it, rate));
         self.open(it).limit = Some(limit);
         Change::Holds(rate)
