--- a/crates/sablepass-agent/src/notices.rs
+++ b/crates/sablepass-agent/src/notices.rs
@@ -59,10 +59,10 @@
             (None, None) => Change::None,
             (None, Some(rate)) => {
                 self.limit = Some(limits::Limit::new(now, rate));
-                Change::Holds(rate)
+                Change::Set(rate)
             }
         };
-        if change == Change::Ends {
+        if change == Change::Ended {
             self.limit = None;
         }
         if self.limit() != before {
@@ -89,9 +89,9 @@
         };
         match self.notices.answered(now, it.sent, named) {
             Change::None => return,
-            Change::Holds(rate) => slog::info!(self.log, "limit holds"; "limit" => rate.per_second(),
+            Change::Set(rate) => slog::info!(self.log, "limit holds"; "limit" => rate.per_second(),
                 "request" => %attempt.request, "attempt" => attempt.number),
-            Change::Ends => slog::info!(self.log, "limit ends"; "request" => %attempt.request,
+            Change::Ended => slog::info!(self.log, "limit ends"; "request" => %attempt.request,
                 "attempt" => attempt.number),
         }
         self.report();
--- a/crates/sablepass-core/src/limits.rs
+++ b/crates/sablepass-core/src/limits.rs
@@ -64,9 +64,9 @@
     /// Nothing that others need to know.
     None,
     /// It holds since now, or its figure changed.
-    Holds(Rate),
+    Set(Rate),
     /// It is over.
-    Ends,
+    Ended,
 }
 
 /// When a request may be sent.
@@ -195,7 +195,7 @@
         let later = sent > self.named;
         let Some(rate) = named else {
             self.without += u32::from(later);
-            return if self.without >= WITHOUT { Change::Ends } else { Change::None };
+            return if self.without >= WITHOUT { Change::Ended } else { Change::None };
         };
         self.without = 0;
         self.told = self.told.filter(|it| it.1.is_some_and(|it| it <= rate));
@@ -224,7 +224,7 @@
 
     /// Takes what the target's agent says, through which all requests go.
     pub fn reported(&mut self, now: Millis, rate: Option<Rate>) -> Change {
-        let Some(rate) = rate else { return Change::Ends };
+        let Some(rate) = rate else { return Change::Ended };
         self.named = now;
         self.change(rate)
     }
@@ -237,7 +237,7 @@
         self.told = None;
         match rate {
             Some(it) => self.change(it),
-            None => Change::Ends,
+            None => Change::Ended,
         }
     }
 
@@ -247,6 +247,6 @@
             return Change::None;
         }
         self.known = rate;
-        Change::Holds(rate)
+        Change::Set(rate)
     }
 }
--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -69,7 +69,7 @@
         let before = limit.rate();
         let change = change(limit);
         let changed = limit.rate() != before;
-        if change == Change::Ends {
+        if change == Change::Ended {
             self.limit = None;
         } else if changed {
             self.share(now, it, holders);
@@ -235,7 +235,7 @@
         let mut limit = Limit::new(now, rate);
         limit.bucket.set(now, holders.part(it, rate));
         self.open(it).limit = Some(limit);
-        Change::Holds(rate)
+        Change::Set(rate)
     }
 
     /// Believes what was told of limits, where nothing speaks against it. What changed.
--- a/crates/sablepass-core/tests/limit.rs
+++ b/crates/sablepass-core/tests/limit.rs
@@ -99,7 +99,7 @@
     let (holders, mut notices) = (alone(), Notices::default());
     assert_eq!(
         notices.answered(3_000, FIRST, 0, Some(rate(1.0)), &holders),
-        Change::Holds(rate(1.0))
+        Change::Set(rate(1.0))
     );
     for late in 0..10 {
         let change = notices.answered(3_100 + late, FIRST, 2_900, None, &holders);
@@ -110,7 +110,7 @@
         assert_eq!(change, Change::None, "a target may leave it out of two answers in a row");
     }
     let ends = [3_500, 3_600, 3_700].map(|at| notices.answered(at, FIRST, at - 10, None, &holders));
-    assert_eq!(ends, [Change::None, Change::None, Change::Ends]);
+    assert_eq!(ends, [Change::None, Change::None, Change::Ended]);
     assert_eq!(notices.next(3_700, FIRST), None);
 }
 
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -97,12 +97,12 @@
     fn limit_changed(&self, it: Life<'_>, change: Change, label: Option<&str>, source: &str) {
         match change {
             Change::None => {}
-            Change::Holds(rate) => {
+            Change::Set(rate) => {
                 let part = self.targets.limit(it).map(|it| it.bucket.per_second());
                 slog::info!(self.log, "limit holds"; "target" => it.name, "born" => it.born,
                     "limit" => rate.per_second(), "part" => part, "source" => source, "id" => label);
             }
-            Change::Ends => slog::info!(self.log, "limit ends"; "target" => it.name,
+            Change::Ended => slog::info!(self.log, "limit ends"; "target" => it.name,
                 "born" => it.born, "source" => source, "id" => label),
         }
     }
@@ -111,8 +111,8 @@
     fn tell_limit(&self, it: Life<'_>, change: Change) {
         let rate = match change {
             Change::None => return,
-            Change::Holds(rate) => Some(rate),
-            Change::Ends => None,
+            Change::Set(rate) => Some(rate),
+            Change::Ended => None,
         };
         self.tell(&Told { limits: vec![(it, rate)], ..Told::default() });
     }
