--- a/crates/sablepass-core/src/limits.rs
+++ b/crates/sablepass-core/src/limits.rs
@@ -207,7 +207,7 @@
     }
 
     /// Takes what another process told: a lower figure holds at once, anything else after a while.
-    pub fn told(&mut self, now: Millis, rate: Option<Rate>) -> Change {
+    pub fn reported_by_peer(&mut self, now: Millis, rate: Option<Rate>) -> Change {
         match rate {
             Some(it) if it <= self.rate => {
                 self.told = None;
@@ -223,14 +223,14 @@
     }
 
     /// Takes what the target's agent says, through which all requests go.
-    pub fn reported(&mut self, now: Millis, rate: Option<Rate>) -> Change {
+    pub fn reported_by_agent(&mut self, now: Millis, rate: Option<Rate>) -> Change {
         let Some(rate) = rate else { return Change::Ended };
         self.named = now;
         self.change(rate)
     }
 
     /// Believes what was told, if nothing has spoken against it for long enough.
-    pub fn settle(&mut self, now: Millis) -> Change {
+    pub fn apply_pending(&mut self, now: Millis) -> Change {
         let Some((_, rate)) = self.told.filter(|it| now >= it.0 + SETTLES) else {
             return Change::None;
         };
--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -198,25 +198,25 @@
     }
 
     /// Takes what another process told of a target's limit; none if it is over.
-    pub fn told(
+    pub fn reported_by_peer(
         &mut self,
         now: Millis,
         it: Life<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, it, rate, holders, |limit| limit.told(now, rate))
+        self.limit(now, it, rate, holders, |limit| limit.reported_by_peer(now, rate))
     }
 
     /// Takes what the agent, through which all requests to a target go, says of its limit.
-    pub fn reported(
+    pub fn reported_by_agent(
         &mut self,
         now: Millis,
         it: Life<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, it, rate, holders, |limit| limit.reported(now, rate))
+        self.limit(now, it, rate, holders, |limit| limit.reported_by_agent(now, rate))
     }
 
     fn limit(
@@ -239,11 +239,11 @@
     }
 
     /// Believes what was told of limits, where nothing speaks against it. What changed.
-    pub fn settle(&mut self, now: Millis, holders: &Holders) -> Vec<(String, Change)> {
+    pub fn apply_pending(&mut self, now: Millis, holders: &Holders) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, notice) in &mut self.notices {
             let life = Life { name, born: notice.born };
-            let change = notice.change(now, life, holders, |limit| limit.settle(now));
+            let change = notice.change(now, life, holders, |limit| limit.apply_pending(now));
             if change != Change::None {
                 changes.push((name.clone(), change));
             }
--- a/crates/sablepass-core/tests/limit.rs
+++ b/crates/sablepass-core/tests/limit.rs
@@ -83,11 +83,11 @@
             now += u64::from(*later % 900);
             let figure = figure.map(|it| rate(f64::from(it) / 8.0));
             if *told {
-                notices.told(now, FIRST, figure, &holders);
+                notices.reported_by_peer(now, FIRST, figure, &holders);
             } else {
                 notices.answered(now, FIRST, now - 1, figure, &holders);
             }
-            notices.settle(now, &holders);
+            notices.apply_pending(now, &holders);
             let part = notices.limited(FIRST).map(|it| (it.rate().usable(), it.bucket.per_second()));
             part.is_none_or(|(rate, part)| (rate.per_second() - part).abs() < 1e-6)
         })
@@ -117,21 +117,21 @@
 #[test]
 fn verify_what_others_tell_waits_unless_it_is_lower() {
     let (holders, mut notices) = (alone(), Notices::default());
-    notices.told(3_000, FIRST, Some(rate(4.0)), &holders);
+    notices.reported_by_peer(3_000, FIRST, Some(rate(4.0)), &holders);
     assert_eq!(limit(&notices), Some(4.0), "as if the target had told it");
-    notices.told(3_000, FIRST, Some(rate(2.0)), &holders);
+    notices.reported_by_peer(3_000, FIRST, Some(rate(2.0)), &holders);
     assert_eq!(limit(&notices), Some(2.0), "a lower figure holds at once");
-    notices.told(3_100, FIRST, Some(rate(8.0)), &holders);
-    notices.settle(3_900, &holders);
+    notices.reported_by_peer(3_100, FIRST, Some(rate(8.0)), &holders);
+    notices.apply_pending(3_900, &holders);
     assert_eq!(limit(&notices), Some(2.0), "a higher one has to wait");
-    notices.settle(4_100, &holders);
+    notices.apply_pending(4_100, &holders);
     assert_eq!(limit(&notices), Some(8.0));
-    notices.told(5_000, FIRST, None, &holders);
+    notices.reported_by_peer(5_000, FIRST, None, &holders);
     notices.answered(5_500, FIRST, 5_400, Some(rate(8.0)), &holders);
-    notices.settle(9_000, &holders);
+    notices.apply_pending(9_000, &holders);
     assert_eq!(limit(&notices), Some(8.0), "the target spoke against its end");
-    notices.told(9_000, FIRST, None, &holders);
-    assert_eq!(notices.settle(10_000, &holders).len(), 1);
+    notices.reported_by_peer(9_000, FIRST, None, &holders);
+    assert_eq!(notices.apply_pending(10_000, &holders).len(), 1);
     assert_eq!(limit(&notices), None);
 }
 
@@ -168,7 +168,7 @@
     for number in 0..1_000_000 {
         let name = format!("i-{number}");
         if notices.has_room(&name) {
-            notices.told(3_000, Life { name: &name, born: 0 }, Some(rate(1.0)), &holders);
+            notices.reported_by_peer(3_000, Life { name: &name, born: 0 }, Some(rate(1.0)), &holders);
             notices.unlisted(3_000, &name);
         }
     }
--- a/crates/sablepass-core/tests/notices.rs
+++ b/crates/sablepass-core/tests/notices.rs
@@ -118,7 +118,7 @@
     for (rests, limited) in [(early, late), (late, early), (late, late), (early, early)] {
         let mut notices = Notices::default();
         notices.rest(rests, FIRST, 200_000);
-        notices.told(limited, FIRST, Some(rate), &holders);
+        notices.reported_by_peer(limited, FIRST, Some(rate), &holders);
         let ends = notices.listed(late + 10, NEXT);
         let case = format!("rest at {rests}, limit at {limited}");
         assert_eq!(notices.rests(late + 10, NEXT).is_some(), rests == late, "{case}");
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -48,7 +48,7 @@
         if self.is_past(it) {
             return Change::None;
         }
-        let change = self.notices.told(now, it, rate, &self.holders);
+        let change = self.notices.reported_by_peer(now, it, rate, &self.holders);
         self.note_listing(now, it.name);
         change
     }
@@ -56,12 +56,12 @@
     /// Takes what the agent before a target tells of its limit.
     pub fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) -> Change {
         let life = self.life(name);
-        self.notices.reported(now, life, rate, &self.holders)
+        self.notices.reported_by_agent(now, life, rate, &self.holders)
     }
 
     /// Believes what was told of limits, where nothing speaks against it. What changed.
     pub fn settle_limits(&mut self, now: Millis) -> Vec<(String, Change)> {
-        self.notices.settle(now, &self.holders)
+        self.notices.apply_pending(now, &self.holders)
     }
 
     /// The lives that name a limit.
