--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -94,7 +94,7 @@
 
 impl Notices {
     /// Records that a target wants nothing for so long. Whether it rests only since now.
-    pub fn rest(&mut self, now: Millis, it: Life<'_>, asked: Millis) -> bool {
+    pub fn pause(&mut self, now: Millis, it: Life<'_>, asked: Millis) -> bool {
         let notice = self.open(it);
         let begins = now >= notice.until;
         if begins {
@@ -126,22 +126,22 @@
     }
 
     /// Until when a target rests, if it does.
-    pub fn rests(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
+    pub fn paused_until(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
         self.get(it).map(|it| it.until).filter(|until| now < *until)
     }
 
     /// Since when a target rests, if it does.
-    pub fn rests_since(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
+    pub fn paused_since(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
         self.get(it).filter(|it| now < it.until).map(|it| it.since)
     }
 
     /// Whether a target leaves.
-    pub fn leaves(&self, it: Life<'_>) -> bool {
-        self.leaves_since(it).is_some()
+    pub fn is_leaving(&self, it: Life<'_>) -> bool {
+        self.leaving_since(it).is_some()
     }
 
     /// Since when a target is known to leave, if it is.
-    pub fn leaves_since(&self, it: Life<'_>) -> Option<Millis> {
+    pub fn leaving_since(&self, it: Life<'_>) -> Option<Millis> {
         self.get(it)?.leaves
     }
 
@@ -291,7 +291,7 @@
     }
 
     /// Targets that rest.
-    pub fn resting(&self, now: Millis) -> usize {
+    pub fn paused_count(&self, now: Millis) -> usize {
         self.notices.values().filter(|it| now < it.until).count()
     }
 
--- a/crates/sablepass-core/tests/limit.rs
+++ b/crates/sablepass-core/tests/limit.rs
@@ -182,9 +182,9 @@
 fn verify_a_limit_stands_beside_a_rest() {
     let (holders, mut notices) = (alone(), Notices::default());
     notices.answered(3_000, FIRST, 0, Some(rate(1.0)), &holders);
-    notices.rest(3_000, FIRST, 500);
+    notices.pause(3_000, FIRST, 500);
     notices.sweep(4_000);
-    assert!(notices.rests(4_000, FIRST).is_none());
+    assert!(notices.paused_until(4_000, FIRST).is_none());
     assert_eq!(limit(&notices), Some(1.0));
 }
 
--- a/crates/sablepass-core/tests/notices.rs
+++ b/crates/sablepass-core/tests/notices.rs
@@ -45,7 +45,7 @@
             now += u64::from(*later % 500);
             match step {
                 Step::Rest(asked) => {
-                    notices.rest(now, FIRST, *asked);
+                    notices.pause(now, FIRST, *asked);
                     until = until.max(now + asked);
                 }
                 Step::Unlisted => notices.unlisted(now, FIRST.name),
@@ -56,7 +56,7 @@
             if matches!(step, Step::Unlisted) {
                 notices.listed(now, FIRST);
             }
-            notices.rests(now, FIRST) == Some(until).filter(|it| now < *it)
+            notices.paused_until(now, FIRST) == Some(until).filter(|it| now < *it)
         })
     }
 
@@ -64,21 +64,21 @@
     fn verify_any_rest_is_honoured(now: u32, asked: u64) -> bool {
         let now = u64::from(now);
         let mut notices = Notices::default();
-        notices.rest(now, FIRST, asked);
-        notices.rests(now, FIRST).is_some() == (asked > 0)
+        notices.pause(now, FIRST, asked);
+        notices.paused_until(now, FIRST).is_some() == (asked > 0)
     }
 }
 
 #[test]
 fn verify_only_a_new_life_ends_a_rest() {
     let mut notices = Notices::default();
-    assert!(notices.rest(1_000, FIRST, u64::MAX), "it begins");
-    assert!(!notices.rest(2_000, FIRST, 5), "it goes on");
+    assert!(notices.pause(1_000, FIRST, u64::MAX), "it begins");
+    assert!(!notices.pause(2_000, FIRST, 5), "it goes on");
     notices.sweep(1_000_000_000_000);
-    assert!(notices.rests(1_000_000_000_000, FIRST).is_some());
+    assert!(notices.paused_until(1_000_000_000_000, FIRST).is_some());
     assert!(!notices.listed(3_000, FIRST), "it is the same life");
     assert!(notices.listed(3_000, NEXT), "the next one ends it");
-    assert_eq!(notices.rests(3_000, NEXT), None);
+    assert_eq!(notices.paused_until(3_000, NEXT), None);
     assert!(notices.is_empty());
 }
 
@@ -87,11 +87,11 @@
     let mut notices = Notices::default();
     assert!(notices.leave(1, FIRST), "it is new");
     assert!(!notices.leave(2, FIRST), "it was known");
-    notices.rest(1_000, FIRST, 1);
+    notices.pause(1_000, FIRST, 1);
     notices.listed(1_000, FIRST);
     notices.sweep(900_000);
-    assert!(notices.leaves(FIRST), "neither time nor a list takes it back");
-    assert!(!notices.leaves(NEXT));
+    assert!(notices.is_leaving(FIRST), "neither time nor a list takes it back");
+    assert!(!notices.is_leaving(NEXT));
     notices.listed(900_000, NEXT);
     assert!(notices.is_empty());
 }
@@ -103,9 +103,9 @@
         let mut notices = Notices::default();
         notices.leave(said, FIRST);
         notices.listed(said + 10, NEXT);
-        assert_eq!(notices.leaves(NEXT), leaves, "said at {said}");
+        assert_eq!(notices.is_leaving(NEXT), leaves, "said at {said}");
         notices.listed(said + 20, FIRST);
-        assert!(!notices.leaves(FIRST), "a life that is over");
+        assert!(!notices.is_leaving(FIRST), "a life that is over");
     }
 }
 
@@ -117,11 +117,11 @@
     let (early, late) = (NEXT.born + 10, 60_000);
     for (rests, limited) in [(early, late), (late, early), (late, late), (early, early)] {
         let mut notices = Notices::default();
-        notices.rest(rests, FIRST, 200_000);
+        notices.pause(rests, FIRST, 200_000);
         notices.reported_by_peer(limited, FIRST, Some(rate), &holders);
         let ends = notices.listed(late + 10, NEXT);
         let case = format!("rest at {rests}, limit at {limited}");
-        assert_eq!(notices.rests(late + 10, NEXT).is_some(), rests == late, "{case}");
+        assert_eq!(notices.paused_until(late + 10, NEXT).is_some(), rests == late, "{case}");
         assert_eq!(notices.limited(NEXT).is_some(), limited == late, "{case}");
         assert_eq!(ends, rests == early, "{case}");
     }
@@ -139,7 +139,7 @@
         for name in &names {
             let life = Life { name, born: 0 };
             notices.leave(1, life);
-            notices.rest(now, life, u64::MAX);
+            notices.pause(now, life, u64::MAX);
             notices.unlisted(now + 1, name);
         }
         notices.sweep(now + 2_000);
--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -16,7 +16,7 @@
 
     /// Records that a target wants nothing for so long. Whether it rests only since now.
     pub fn asked_for_rest(&mut self, now: Millis, it: Life<'_>, asked: Millis) -> bool {
-        let begins = !self.is_past(it) && self.notices.rest(now, it, asked);
+        let begins = !self.is_past(it) && self.notices.pause(now, it, asked);
         self.note_listing(now, it.name);
         begins
     }
@@ -46,7 +46,7 @@
 
     /// Whether a request may go to a target, by what that said of itself and by the list.
     pub fn takes(&self, now: Millis, it: Life<'_>) -> bool {
-        !self.has_left(now, it) && self.notices.rests(now, it).is_none()
+        !self.has_left(now, it) && self.notices.paused_until(now, it).is_none()
     }
 
     /// The lives of targets that said that they leave.
@@ -56,24 +56,24 @@
 
     /// Whether a life of a target said that it leaves, or its line was removed.
     pub fn has_left(&self, now: Millis, it: Life<'_>) -> bool {
-        self.notices.leaves(it) || self.is_gone(now, it.name)
+        self.notices.is_leaving(it) || self.is_gone(now, it.name)
     }
 
     /// Whether a target had asked for a rest, that goes on, before a request was sent there.
     pub fn rested_before(&self, now: Millis, it: Life<'_>, sent: Millis) -> bool {
-        self.notices.rests_since(now, it).is_some_and(|since| sent > since)
+        self.notices.paused_since(now, it).is_some_and(|since| sent > since)
     }
 
     /// Whether a target was known to leave before a request was sent there.
     pub fn left_before(&self, it: Life<'_>, sent: Millis) -> bool {
         let gone = self.listed.get(it.name).and_then(|it| it.missing).map(|it| it.gone);
-        let since = self.notices.leaves_since(it).into_iter().chain(gone).min();
+        let since = self.notices.leaving_since(it).into_iter().chain(gone).min();
         since.is_some_and(|since| sent > since)
     }
 
     /// Targets that rest.
     pub fn resting(&self, now: Millis) -> usize {
-        self.notices.resting(now)
+        self.notices.paused_count(now)
     }
 
     /// Whether a target rests that is reached through its agent.
@@ -86,7 +86,7 @@
     /// and some of them asked for it.
     pub fn rested(&self, now: Millis, served: &Served) -> Option<Millis> {
         let names = self.subsets.get(served)?;
-        let rests = |it: &String| self.notices.rests(now, self.life(it));
+        let rests = |it: &String| self.notices.paused_until(now, self.life(it));
         let asked = |it: &String| rests(it).is_some() || self.rests_behind_agent(now, it);
         if !names.iter().any(asked) || names.iter().any(|it| self.open_for(now, it)) {
             return None;
