--- a/crates/sablepass-agent/src/memory.rs
+++ b/crates/sablepass-agent/src/memory.rs
@@ -32,7 +32,7 @@
 
     /// What an entry is told that has just connected, if there is anything.
     pub fn recall(&self, now: Millis) -> Option<Body> {
-        let held = self.suspects.held(now).map(|(it, death)| (it, death.clone()));
+        let held = self.suspects.blocked(now).map(|(it, death)| (it, death.clone()));
         let told = Told { deaths: held.collect(), sound: Vec::new() };
         (!told.is_empty()).then(|| told.body())
     }
--- a/crates/sablepass-core/src/suspects.rs
+++ b/crates/sablepass-core/src/suspects.rs
@@ -24,7 +24,7 @@
 /// How long after its last death a request is held back. Callers repeat a
 /// request for seconds; what is wrong with a target's software takes its owners
 /// longer than this. Afterwards it may try once, and one more death renews it.
-pub const HOLD: Millis = 600_000;
+pub const BLOCK_DURATION: Millis = 600_000;
 /// How long nobody tries a request that is suspected and not proved to end its targets, where one
 /// more death costs more than the request: longer than its callers wait, and short against
 /// the time between two such ends of an ordinary cause.
@@ -32,7 +32,7 @@
 /// After how long a caller is told to come again while a copy of its request is tried.
 const TRIAL: Millis = 2_000;
 /// How long a request is remembered after its last death or answer.
-const MEMORY: Millis = 2 * HOLD;
+const MEMORY: Millis = 2 * BLOCK_DURATION;
 /// Requests remembered: about 400 KB. A hall with 300 targets of twelve places
 /// loses 3,600 requests at once; of those the last are kept.
 const MOST: usize = 1_024;
@@ -73,14 +73,14 @@
     /// A target ended under it, as under others.
     Suspect,
     /// Targets end under it: it is not sent before then.
-    Held(Millis),
+    Blocked(Millis),
 }
 
 /// Who asks whether a suspected request may be tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Trial {
     /// The end of one target stops all that its service runs.
-    pub dear: bool,
+    pub expensive: bool,
     /// Of all entries this is the one that tries the request.
     pub owner: bool,
     /// A copy of it runs from here.
@@ -95,9 +95,9 @@
     /// It counts.
     Counted,
     /// It is the one from which the request is held back.
-    Held,
+    Blocked,
     /// The request ran to its end lately: it does not end targets.
-    Absolved,
+    Cleared,
 }
 
 /// What was seen of one request.
@@ -132,9 +132,9 @@
 
     fn standing(&self, now: Millis) -> Standing {
         let proved = self.in_turn() >= IN_TURN || self.deaths.len() >= IN_ALL;
-        match (self.deaths.is_empty(), proved, self.last() + HOLD) {
+        match (self.deaths.is_empty(), proved, self.last() + BLOCK_DURATION) {
             (true, ..) => Standing::Clear,
-            (false, true, until) if now < until => Standing::Held(until),
+            (false, true, until) if now < until => Standing::Blocked(until),
             _ => Standing::Suspect,
         }
     }
@@ -171,15 +171,15 @@
     /// request is one of a dozen that its target held, and tried again unless that is dear.
     /// After several of one moment as many copies ran, and each further copy may end one
     /// more target: once the pause is over one entry tries one of them.
-    pub fn paused(&self, now: Millis, it: Fingerprint, trial: Trial) -> Option<Millis> {
+    pub fn paused_until(&self, now: Millis, it: Fingerprint, trial: Trial) -> Option<Millis> {
         let seen = self.seen.get(&it)?;
         let last = seen.last();
         let several = seen.deaths.len() >= 2;
-        let suspected = several || trial.dear && seen.deaths.len() == 1;
+        let suspected = several || trial.expensive && seen.deaths.len() == 1;
         if !suspected {
             return None;
         }
-        let held = if now < last + HOLD { last + HOLD } else { last + MEMORY };
+        let held = if now < last + BLOCK_DURATION { last + BLOCK_DURATION } else { last + MEMORY };
         match trial {
             _ if now < last + PAUSE => Some(last + PAUSE),
             Trial { owner: false, .. } if several && now < held => Some(held),
@@ -199,7 +199,7 @@
             let seen = self.seen.entry(it).or_default();
             seen.deaths.clear();
             let news = seen.sound.replace(now).is_none();
-            return if news { Change::Absolved } else { Change::Nothing };
+            return if news { Change::Cleared } else { Change::Nothing };
         }
         let seen = self.seen.entry(it).or_default();
         let known = seen.deaths.iter().any(|known| known.is_same(&death));
@@ -212,7 +212,7 @@
             seen.deaths.remove(0);
         }
         match (before, seen.standing(now)) {
-            (Standing::Clear | Standing::Suspect, Standing::Held(_)) => Change::Held,
+            (Standing::Clear | Standing::Suspect, Standing::Blocked(_)) => Change::Blocked,
             _ => Change::Counted,
         }
     }
@@ -250,8 +250,8 @@
     }
 
     /// The same of those that are held back.
-    pub fn held(&self, now: Millis) -> impl Iterator<Item = (Fingerprint, &Death)> {
-        let held = move |it: &Fingerprint| matches!(self.standing(now, *it), Standing::Held(_));
+    pub fn blocked(&self, now: Millis) -> impl Iterator<Item = (Fingerprint, &Death)> {
+        let held = move |it: &Fingerprint| matches!(self.standing(now, *it), Standing::Blocked(_));
         self.deaths().filter(move |it| held(&it.0))
     }
 
@@ -266,7 +266,7 @@
         if self.seen.len() < MOST {
             return;
         }
-        let held = |seen: &Seen| matches!(seen.standing(now), Standing::Held(_));
+        let held = |seen: &Seen| matches!(seen.standing(now), Standing::Blocked(_));
         let least = self.seen.iter().min_by_key(|(key, seen)| (held(seen), seen.last(), **key));
         if let Some(least) = least.map(|it| *it.0) {
             self.seen.remove(&least);
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -10,7 +10,7 @@
 use sablepass_core::id::{Incarnation, Millis, RequestId};
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
-use sablepass_core::suspects::{Change, Death, HOLD, Standing, Suspects, Trial};
+use sablepass_core::suspects::{Change, Death, BLOCK_DURATION, Standing, Suspects, Trial};
 
 const ASKED: Fingerprint = Fingerprint(7);
 
@@ -38,8 +38,8 @@
 fn verify_two_deaths_in_turn_hold_a_request_back() {
     let mut suspects = Suspects::default();
     record(&mut suspects, death("a", 1_000, 2_000));
-    assert_eq!(record(&mut suspects, death("b", 2_001, 6_000)), Change::Held);
-    assert_eq!(suspects.standing(6_001, ASKED), Standing::Held(6_000 + HOLD));
+    assert_eq!(record(&mut suspects, death("b", 2_001, 6_000)), Change::Blocked);
+    assert_eq!(suspects.standing(6_001, ASKED), Standing::Blocked(6_000 + BLOCK_DURATION));
     assert_eq!(suspects.standing(6_001, Fingerprint(8)), Standing::Clear);
 }
 
@@ -49,29 +49,29 @@
     let mut suspects = Suspects::default();
     record(&mut suspects, death("a", 1_000, 1_200));
     record(&mut suspects, death("b", 1_001, 1_201));
-    assert_eq!(record(&mut suspects, death("c", 1_002, 1_202)), Change::Held);
+    assert_eq!(record(&mut suspects, death("c", 1_002, 1_202)), Change::Blocked);
 }
 
 /// The entry that tries a suspected request, with no copy of it under way.
-const OWNER: Trial = Trial { dear: false, owner: true, busy: false };
+const OWNER: Trial = Trial { expensive: false, owner: true, busy: false };
 const OTHER: Trial = Trial { owner: false, ..OWNER };
-const DEAR: Trial = Trial { dear: true, ..OTHER };
+const EXPENSIVE: Trial = Trial { expensive: true, ..OTHER };
 
 /// Two copies at one moment prove nothing, and yet the next copies would end one target each.
 #[test]
 fn verify_nobody_tries_after_two_deaths_of_one_moment() {
     let mut suspects = Suspects::default();
     record(&mut suspects, death("a", 1_000, 1_200));
-    assert_eq!(suspects.paused(1_300, ASKED, OTHER), None, "it is one of a dozen");
+    assert_eq!(suspects.paused_until(1_300, ASKED, OTHER), None, "it is one of a dozen");
     record(&mut suspects, death("b", 1_001, 1_201));
     assert_eq!(suspects.standing(1_300, ASKED), Standing::Suspect);
     for trial in [OWNER, OTHER] {
-        assert_eq!(suspects.paused(1_300, ASKED, trial), Some(31_201));
+        assert_eq!(suspects.paused_until(1_300, ASKED, trial), Some(31_201));
     }
-    assert_eq!(suspects.paused(31_201, ASKED, OWNER), None, "innocents may come again");
+    assert_eq!(suspects.paused_until(31_201, ASKED, OWNER), None, "innocents may come again");
     assert!(suspects.clear(1_400, ASKED));
     for trial in [OWNER, OTHER] {
-        assert_eq!(suspects.paused(1_400, ASKED, trial), None, "it ran elsewhere");
+        assert_eq!(suspects.paused_until(1_400, ASKED, trial), None, "it ran elsewhere");
     }
 }
 
@@ -82,14 +82,14 @@
     let mut suspects = Suspects::default();
     record(&mut suspects, death("a", 1_000, 1_200));
     record(&mut suspects, death("b", 1_001, 1_201));
-    let held = 1_201 + HOLD;
-    assert_eq!(suspects.paused(31_201, ASKED, OTHER), Some(held));
+    let held = 1_201 + BLOCK_DURATION;
+    assert_eq!(suspects.paused_until(31_201, ASKED, OTHER), Some(held));
     let busy = Trial { busy: true, ..OWNER };
-    assert!(suspects.paused(31_201, ASKED, busy).is_some_and(|until| until > 31_201));
-    assert_eq!(suspects.paused(held, ASKED, OWNER), None);
-    assert!(suspects.paused(held, ASKED, OTHER).is_some_and(|until| until > held));
+    assert!(suspects.paused_until(31_201, ASKED, busy).is_some_and(|until| until > 31_201));
+    assert_eq!(suspects.paused_until(held, ASKED, OWNER), None);
+    assert!(suspects.paused_until(held, ASKED, OTHER).is_some_and(|until| until > held));
     // The one that is tried proves it.
-    assert_eq!(record(&mut suspects, death("c", 31_300, 31_400)), Change::Held);
+    assert_eq!(record(&mut suspects, death("c", 31_300, 31_400)), Change::Blocked);
 }
 
 /// The end of one rank stops all that its group runs.
@@ -97,8 +97,8 @@
 fn verify_nobody_tries_after_one_death_that_stops_all() {
     let mut suspects = Suspects::default();
     record(&mut suspects, death("a", 1_000, 1_200));
-    assert_eq!(suspects.paused(1_300, ASKED, DEAR), Some(31_200));
-    assert_eq!(suspects.paused(1_300, Fingerprint(8), DEAR), None);
+    assert_eq!(suspects.paused_until(1_300, ASKED, EXPENSIVE), Some(31_200));
+    assert_eq!(suspects.paused_until(1_300, Fingerprint(8), EXPENSIVE), None);
 }
 
 /// Two entries each had a copy at the target that ended.
@@ -117,7 +117,7 @@
     let life = |born, sent, ended| Death { born, ..death("a", sent, ended) };
     record(&mut suspects, life(500, 1_000, 2_000));
     assert_eq!(record(&mut suspects, life(500, 2_001, 2_900)), Change::Nothing);
-    assert_eq!(record(&mut suspects, life(2_950, 3_000, 3_100)), Change::Held);
+    assert_eq!(record(&mut suspects, life(2_950, 3_000, 3_100)), Change::Blocked);
 }
 
 /// The hold ends; one more death renews it at once.
@@ -126,10 +126,10 @@
     let mut suspects = Suspects::default();
     record(&mut suspects, death("a", 1_000, 2_000));
     record(&mut suspects, death("b", 3_000, 4_000));
-    let over = 4_000 + HOLD;
+    let over = 4_000 + BLOCK_DURATION;
     assert_eq!(suspects.standing(over, ASKED), Standing::Suspect);
-    assert_eq!(record(&mut suspects, death("c", over, over + 50)), Change::Held);
-    assert_eq!(suspects.standing(over + 51, ASKED), Standing::Held(over + 50 + HOLD));
+    assert_eq!(record(&mut suspects, death("c", over, over + 50)), Change::Blocked);
+    assert_eq!(suspects.standing(over + 51, ASKED), Standing::Blocked(over + 50 + BLOCK_DURATION));
 }
 
 #[test]
@@ -148,7 +148,7 @@
 fn verify_what_ran_a_moment_before_is_not_suspected() {
     let mut suspects = Suspects::default();
     assert!(!suspects.ran(500, ASKED));
-    assert_eq!(record(&mut suspects, death("a", 1_000, 2_000)), Change::Absolved);
+    assert_eq!(record(&mut suspects, death("a", 1_000, 2_000)), Change::Cleared);
     assert_eq!(record(&mut suspects, death("b", 2_001, 2_002)), Change::Nothing);
     assert_eq!(suspects.standing(2_002, ASKED), Standing::Clear);
     for other in 0..5_000 {
@@ -167,7 +167,7 @@
         let now = 4_000 + other;
         suspects.record(now, Fingerprint(100 + u128::from(other)), death("z", 1_000, now));
     }
-    assert!(matches!(suspects.standing(9_000, ASKED), Standing::Held(_)));
+    assert!(matches!(suspects.standing(9_000, ASKED), Standing::Blocked(_)));
     assert!(suspects.evicted() > 3_900, "{}", suspects.evicted());
     assert!(suspects.deaths().count() <= 1_100);
 }
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -98,7 +98,7 @@
 
     /// What a process beside a target is to remember.
     pub(crate) fn held(&self, now: Millis) -> Option<Told> {
-        Some(told(self.suspects.held(now))).filter(|it| !it.is_empty())
+        Some(told(self.suspects.blocked(now))).filter(|it| !it.is_empty())
     }
 
     /// The next message to the other entries.
@@ -125,7 +125,7 @@
         };
         let line = |(it, deaths): (&Fingerprint, &Vec<&Death>)| {
             let until = match self.suspects.standing(now, *it) {
-                Standing::Held(until) => Some(until),
+                Standing::Blocked(until) => Some(until),
                 Standing::Suspect | Standing::Clear => None,
             };
             let deaths: Vec<serde_json::Value> = deaths.iter().map(death).collect();
@@ -230,14 +230,14 @@
         self.metrics.suspects_evicted.inc_by(self.watch.suspects.evicted() - evicted);
         match change {
             Change::Nothing => return,
-            Change::Absolved => return self.tell_sound(it),
-            Change::Counted | Change::Held => {}
+            Change::Cleared => return self.tell_sound(it),
+            Change::Counted | Change::Blocked => {}
         }
         let source = if peer.is_some() { "told" } else { "seen" };
         self.metrics.deaths.with_label_values(&[source]).inc();
         slog::warn!(self.log, "target ended under a request"; "fingerprint" => %it,
             "target" => &death.target, "born" => death.born, "request_sent" => death.sent,
-            "ended" => death.ended, "source" => source, "held" => change == Change::Held);
+            "ended" => death.ended, "source" => source, "held" => change == Change::Blocked);
         if self.watch.untold.deaths.len() < BACKLOG {
             self.watch.untold.deaths.push((it, death));
         }
@@ -245,7 +245,7 @@
             // At once: the next copy may be on its way to another entry.
             self.tell_suspects();
         }
-        if change == Change::Held {
+        if change == Change::Blocked {
             self.hold_back(cx, now, it);
         }
     }
@@ -272,8 +272,8 @@
         let Some(open) = self.open.get(&id) else { return false };
         let it = open.fingerprint();
         let until = match self.watch.suspects.standing(now, it) {
-            Standing::Held(until) => Some(until),
-            Standing::Suspect => self.watch.suspects.paused(now, it, self.trial(id, open)),
+            Standing::Blocked(until) => Some(until),
+            Standing::Suspect => self.watch.suspects.paused_until(now, it, self.trial(id, open)),
             Standing::Clear => None,
         };
         if let Some(until) = until
@@ -291,7 +291,7 @@
             *other != id && copy.counted.is_some() && copy.fingerprint() == it
         };
         Trial {
-            dear: self.targets.stands_together(&open.served),
+            expensive: self.targets.stands_together(&open.served),
             owner: several && self.targets.owns(&it.to_string()),
             busy: several && self.open.iter().any(copy),
         }
