--- a/crates/sablepass-core/src/deaths.rs
+++ b/crates/sablepass-core/src/deaths.rs
@@ -24,7 +24,7 @@
 
 /// A request that its target broke off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Case {
+pub struct Interrupted {
     /// The attempt's request here.
     pub request: RequestId,
     /// What it asks for.
@@ -36,7 +36,7 @@
 /// Requests that were broken off lately, and targets that refuse connections.
 #[derive(Debug, Default)]
 pub struct Deaths {
-    cases: VecDeque<Case>,
+    cases: VecDeque<Interrupted>,
     /// When a target last refused a connection, to whomever.
     refused: HashMap<String, Millis>,
 }
@@ -44,7 +44,7 @@
 impl Deaths {
     /// Records that a target broke off a request. The case, if the target has
     /// been seen to be gone already.
-    pub fn broke_off(&mut self, now: Millis, case: Case) -> Option<Case> {
+    pub fn record_interrupted(&mut self, now: Millis, case: Interrupted) -> Option<Interrupted> {
         let refused = self.refused.get(&case.death.target);
         if refused.is_some_and(|at| *at >= case.death.sent) {
             return Some(case);
@@ -59,23 +59,23 @@
 
     /// Records that a target refuses connections. Returns the requests that it
     /// ended under.
-    pub fn refuses(&mut self, now: Millis, target: &str) -> Vec<Case> {
+    pub fn record_refusal(&mut self, now: Millis, target: &str) -> Vec<Interrupted> {
         self.refused.insert(target.to_owned(), now);
-        self.gone(now, target)
+        self.record_gone(now, target)
     }
 
     /// Records that the instance list names a target no more, or a later life
     /// of it. Returns the requests that it ended under.
-    pub fn gone(&mut self, now: Millis, target: &str) -> Vec<Case> {
+    pub fn record_gone(&mut self, now: Millis, target: &str) -> Vec<Interrupted> {
         self.lapse(now);
         let (ended, waiting) =
-            self.cases.drain(..).partition(|it: &Case| it.death.target == target);
+            self.cases.drain(..).partition(|it: &Interrupted| it.death.target == target);
         self.cases = waiting;
         Vec::from(ended)
     }
 
     /// Whether a request that this target broke off waits for such proof.
-    pub fn waits(&self, target: &str) -> bool {
+    pub fn is_pending(&self, target: &str) -> bool {
         self.cases.iter().any(|it| it.death.target == target)
     }
 
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -4,7 +4,7 @@
 //! Which requests are held back because targets end under them.
 
 use quickcheck::{TestResult, quickcheck};
-use sablepass_core::deaths::{Case, Deaths};
+use sablepass_core::deaths::{Interrupted, Deaths};
 use sablepass_core::fingerprint::Fingerprint;
 use sablepass_core::flight::{Action, Event, Flight, Options, Request};
 use sablepass_core::id::{Incarnation, Millis, RequestId};
@@ -204,30 +204,30 @@
     quickcheck(decides_alike as fn(Vec<(u8, u16, u16)>, usize) -> TestResult);
 }
 
-fn case(target: &str, sent: Millis, ended: Millis) -> Case {
-    Case { request: RequestId(1), fingerprint: ASKED, death: death(target, sent, ended) }
+fn case(target: &str, sent: Millis, ended: Millis) -> Interrupted {
+    Interrupted { request: RequestId(1), fingerprint: ASKED, death: death(target, sent, ended) }
 }
 
 /// A link that fails, a group that gives up, an answer that is spoilt.
 #[test]
 fn verify_a_broken_answer_alone_is_no_death() {
     let mut deaths = Deaths::default();
-    assert_eq!(deaths.broke_off(2_000, case("a", 1_000, 2_000)), None);
-    assert_eq!(deaths.refuses(2_100, "b"), []);
-    assert_eq!(deaths.gone(9_000, "a"), [], "its end later is another matter");
+    assert_eq!(deaths.record_interrupted(2_000, case("a", 1_000, 2_000)), None);
+    assert_eq!(deaths.record_refusal(2_100, "b"), []);
+    assert_eq!(deaths.record_gone(9_000, "a"), [], "its end later is another matter");
 }
 
 #[test]
 fn verify_a_target_that_is_gone_as_well_has_ended_under_it() {
     let mut deaths = Deaths::default();
     let first = case("a", 1_000, 2_000);
-    deaths.broke_off(2_000, first.clone());
-    assert_eq!(deaths.refuses(2_020, "a"), [first]);
+    deaths.record_interrupted(2_000, first.clone());
+    assert_eq!(deaths.record_refusal(2_020, "a"), [first]);
     let late = case("a", 1_500, 2_030);
-    assert_eq!(deaths.broke_off(2_030, late.clone()), Some(late), "known by then");
+    assert_eq!(deaths.record_interrupted(2_030, late.clone()), Some(late), "known by then");
     let next = case("a", 2_500, 2_600);
-    assert_eq!(deaths.broke_off(2_600, next.clone()), None, "sent to a later life");
-    assert_eq!(deaths.gone(6_000, "a"), [next]);
+    assert_eq!(deaths.record_interrupted(2_600, next.clone()), None, "sent to a later life");
+    assert_eq!(deaths.record_gone(6_000, "a"), [next]);
 }
 
 fn flight() -> Flight {
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sablepass_core::deaths::{Case, Deaths};
+use sablepass_core::deaths::{Interrupted, Deaths};
 use sablepass_core::fingerprint::Fingerprint;
 use sablepass_core::flight::Event;
 use sablepass_core::id::{Millis, RequestId};
@@ -157,8 +157,8 @@
             sent: open.sent,
             ended: now,
         };
-        let case = Case { request: id, fingerprint: open.fingerprint(), death };
-        match self.watch.deaths.broke_off(now, case) {
+        let case = Interrupted { request: id, fingerprint: open.fingerprint(), death };
+        match self.watch.deaths.record_interrupted(now, case) {
             Some(case) => self.ended_under(cx, case),
             None => self.probe(cx, now, target),
         }
@@ -182,7 +182,7 @@
 
     /// A process that ends may close its connections before it stops to listen.
     fn look_again(&mut self, cx: CX![], target: String) {
-        let waits = self.watch.deaths.waits(&target);
+        let waits = self.watch.deaths.is_pending(&target);
         if let Some(to) = self.targets.destination(&target).filter(|_| waits) {
             self.pool.probe(cx, clock::now(), to);
         }
@@ -190,19 +190,19 @@
 
     /// Records that a target refuses connections: its process has ended.
     pub(crate) fn target_refuses(&mut self, cx: CX![], target: &str) {
-        for case in self.watch.deaths.refuses(clock::now(), target) {
+        for case in self.watch.deaths.record_refusal(clock::now(), target) {
             self.ended_under(cx, case);
         }
     }
 
     /// Records that the instance list names a target no more, or a later life of it.
     pub(crate) fn target_gone(&mut self, cx: CX![], target: &str) {
-        for case in self.watch.deaths.gone(clock::now(), target) {
+        for case in self.watch.deaths.record_gone(clock::now(), target) {
             self.ended_under(cx, case);
         }
     }
 
-    fn ended_under(&mut self, cx: CX![], case: Case) {
+    fn ended_under(&mut self, cx: CX![], case: Interrupted) {
         let target = case.death.target.clone();
         self.traces.add(case.death.ended, case.request, Step::TargetEnded { target });
         self.suspect(cx, case.fingerprint, case.death, None);
