--- a/crates/sablepass-core/src/membership.rs
+++ b/crates/sablepass-core/src/membership.rs
@@ -172,7 +172,7 @@
     }
 
     /// Records that a connection to an agent came up.
-    pub fn up(&mut self, now: Millis, name: &str, incarnation: Incarnation) {
+    pub fn connected(&mut self, now: Millis, name: &str, incarnation: Incarnation) {
         let known = self.members.get(name).filter(|it| it.incarnation == incarnation);
         let leaving = known.is_some_and(|it| it.leaving);
         let own = known.map_or(0, |it| it.own);
@@ -199,7 +199,7 @@
     /// Records that the instance list names a target.
     pub fn listed(&mut self, now: Millis, name: &str, leaving: bool) {
         if !self.members.contains_key(name) {
-            self.up(now, name, Incarnation(0));
+            self.connected(now, name, Incarnation(0));
         }
         if let Some(member) = self.members.get_mut(name) {
             member.source = Source::Listing;
@@ -214,7 +214,7 @@
 
     /// Records what a target said of its load with an answer: requests that
     /// run and wait there, this entry's own included.
-    pub fn told(&mut self, now: Millis, name: &str, requests: u32) {
+    pub fn record_load(&mut self, now: Millis, name: &str, requests: u32) {
         if let Some(member) = self.members.get_mut(name) {
             member.told_at = now;
             member.others = requests.saturating_sub(member.own);
@@ -224,7 +224,7 @@
 
     /// Forgets the load that listed targets told too long ago: of one that is taken to be
     /// full nothing new would ever be heard where no agent tells, since nothing is sent there.
-    pub fn age(&mut self, now: Millis) {
+    pub fn expire_loads(&mut self, now: Millis) {
         let old = |it: &&mut Member| {
             it.source == Source::Listing && now.saturating_sub(it.told_at) >= TOLD
         };
@@ -235,14 +235,14 @@
     }
 
     /// Records that a target is better left alone until `until`.
-    pub fn leave_alone(&mut self, name: &str, until: Millis) {
+    pub fn back_off(&mut self, name: &str, until: Millis) {
         if let Some(member) = self.members.get_mut(name) {
             member.alone = member.alone.max(until);
         }
     }
 
     /// Records that a target answered a request as it should.
-    pub fn sound(&mut self, name: &str) {
+    pub fn record_success(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.failures = 0;
         }
@@ -251,7 +251,7 @@
     /// Records that a target failed a request, and returns how long it had
     /// better be left alone. One that fails at once has the least load, and so
     /// would get most of the work.
-    pub fn failed(&mut self, name: &str) -> Option<Millis> {
+    pub fn record_failure(&mut self, name: &str) -> Option<Millis> {
         let member = self.members.get_mut(name)?;
         member.failures += 1;
         let more = member.failures.checked_sub(FAILURES)?;
@@ -259,7 +259,7 @@
     }
 
     /// Records a heartbeat.
-    pub fn heard(&mut self, now: Millis, name: &str, report: Report) {
+    pub fn record_heartbeat(&mut self, now: Millis, name: &str, report: Report) {
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -281,7 +281,7 @@
 
     /// Records that the connection to the agent beside a listed target ended.
     /// Its process may have died and the target go on.
-    pub fn unlinked(&mut self, name: &str) {
+    pub fn agent_disconnected(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.linked = false;
         }
@@ -289,7 +289,7 @@
 
     /// Listed targets whose machine counts as asleep. None while that holds for
     /// half of them: then it is this process that heard nothing.
-    pub fn quiet(&self, now: Millis) -> BTreeSet<String> {
+    pub fn unresponsive(&self, now: Millis) -> BTreeSet<String> {
         let linked = || {
             let told = |it: &Member| it.source == Source::Listing && it.linked;
             self.members.iter().filter(move |it| told(it.1))
@@ -300,21 +300,21 @@
     }
 
     /// Records that the connection went down.
-    pub fn down(&mut self, name: &str) {
+    pub fn disconnected(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.heard = 0;
         }
     }
 
     /// Records that the agent refused because it is leaving.
-    pub fn leave(&mut self, name: &str) {
+    pub fn mark_leaving(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.leaving = true;
         }
     }
 
     /// Records that the target refused a connection. Its agent says when that is over.
-    pub fn away(&mut self, name: &str) {
+    pub fn refused_connection(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.report.away = true;
         }
@@ -336,11 +336,11 @@
 
     /// The agent, if it may get new work.
     pub fn usable(&self, now: Millis, name: &str) -> Option<&Member> {
-        self.usable_later(now, name).filter(|it| now >= it.alone)
+        self.usable_after_back_off(now, name).filter(|it| now >= it.alone)
     }
 
     /// The agent, if it may get new work once it is no longer left alone.
-    pub fn usable_later(&self, now: Millis, name: &str) -> Option<&Member> {
+    pub fn usable_after_back_off(&self, now: Millis, name: &str) -> Option<&Member> {
         let member = self.members.get(name)?;
         let silent = now.saturating_sub(member.heard) >= self.silence;
         let stalled = now.saturating_sub(member.alive) >= self.silence * STALLED;
@@ -377,7 +377,7 @@
     }
 
     /// Targets of which it was told lately that their group stands.
-    pub fn standing(&self, now: Millis) -> impl Iterator<Item = &String> {
+    pub fn stalled(&self, now: Millis) -> impl Iterator<Item = &String> {
         let stands = move |it: &Member| it.report.stands && now.saturating_sub(it.heard) < TOLD;
         self.members.iter().filter(move |it| stands(it.1)).map(|it| it.0)
     }
--- a/crates/sablepass-core/tests/crowd.rs
+++ b/crates/sablepass-core/tests/crowd.rs
@@ -75,7 +75,7 @@
                         let load = running[rank] + queues[rank].len() as u32;
                         for table in &mut tables {
                             let report = Report { in_flight: load, size: 1, ..Report::default() };
-                            table.heard(at / 1_000, &names[rank], report);
+                            table.record_heartbeat(at / 1_000, &names[rank], report);
                         }
                         events.push(Reverse((at + self.heartbeat * 1_000, Event::Report(rank))));
                     }
--- a/crates/sablepass-core/tests/membership.rs
+++ b/crates/sablepass-core/tests/membership.rs
@@ -28,8 +28,8 @@
 #[test]
 fn verify_short_requests_do_not_pile_up() {
     let mut members = Members::open(1_000);
-    members.up(0, "t", Incarnation(1));
-    members.heard(0, "t", report(0, false));
+    members.connected(0, "t", Incarnation(1));
+    members.record_heartbeat(0, "t", report(0, false));
     // Many more requests than the capacity come and go between two reports.
     for _ in 0..100 {
         members.sent("t");
@@ -42,10 +42,10 @@
 #[test]
 fn verify_own_requests_are_not_counted_twice() {
     let mut members = Members::open(1_000);
-    members.up(0, "t", Incarnation(1));
+    members.connected(0, "t", Incarnation(1));
     members.sent("t");
     members.sent("t");
-    members.heard(5, "t", report(5, false));
+    members.record_heartbeat(5, "t", report(5, false));
     members.sent("t");
     let member = members.usable(10, "t").expect("usable");
     assert_eq!((member.own, member.others), (3, 3));
@@ -54,49 +54,49 @@
 #[test]
 fn verify_leaving_outlives_late_heartbeats() {
     let mut members = Members::open(1_000);
-    members.up(0, "t", Incarnation(1));
-    members.heard(1, "t", report(0, true));
-    members.heard(2, "t", report(0, false));
+    members.connected(0, "t", Incarnation(1));
+    members.record_heartbeat(1, "t", report(0, true));
+    members.record_heartbeat(2, "t", report(0, false));
     assert!(members.usable(3, "t").is_none());
-    members.down("t");
-    members.up(4, "t", Incarnation(1));
+    members.disconnected("t");
+    members.connected(4, "t", Incarnation(1));
     assert!(members.usable(5, "t").is_none(), "the same incarnation came back");
-    members.up(6, "t", Incarnation(2));
+    members.connected(6, "t", Incarnation(2));
     assert!(members.usable(7, "t").is_some(), "a new incarnation is a new instance");
 }
 
 #[test]
 fn verify_stalled_engine_is_not_chosen() {
     let mut members = Members::open(1_000);
-    members.up(0, "t", Incarnation(1));
+    members.connected(0, "t", Incarnation(1));
     // The agent lives on and says how long its engine has been silent.
     for now in (100..=2_900).step_by(100) {
-        members.heard(now, "t", Report { engine_age: Some(now), ..report(1, false) });
+        members.record_heartbeat(now, "t", Report { engine_age: Some(now), ..report(1, false) });
         assert!(members.usable(now, "t").is_some(), "at {now}");
     }
-    members.heard(3_000, "t", Report { engine_age: Some(3_000), ..report(1, false) });
+    members.record_heartbeat(3_000, "t", Report { engine_age: Some(3_000), ..report(1, false) });
     assert!(members.usable(3_000, "t").is_none());
-    members.heard(3_100, "t", Report { engine_age: Some(10), ..report(1, false) });
+    members.record_heartbeat(3_100, "t", Report { engine_age: Some(10), ..report(1, false) });
     assert!(members.usable(3_100, "t").is_some(), "it answers again");
 }
 
 #[test]
 fn verify_away_until_its_agent_says_otherwise() {
     let mut members = Members::open(1_000);
-    members.up(0, "t", Incarnation(1));
-    members.away("t");
+    members.connected(0, "t", Incarnation(1));
+    members.refused_connection("t");
     assert!(members.usable(1, "t").is_none());
-    members.heard(2, "t", Report { away: true, ..report(0, false) });
+    members.record_heartbeat(2, "t", Report { away: true, ..report(0, false) });
     assert!(members.usable(3, "t").is_none());
-    members.heard(4, "t", report(0, false));
+    members.record_heartbeat(4, "t", report(0, false));
     assert!(members.usable(5, "t").is_some());
 }
 
 #[test]
 fn verify_silent_target_is_not_chosen() {
     let mut members = Members::open(1_000);
-    members.up(0, "t", Incarnation(1));
-    members.heard(500, "t", report(0, false));
+    members.connected(0, "t", Incarnation(1));
+    members.record_heartbeat(500, "t", report(0, false));
     assert!(members.usable(1_499, "t").is_some());
     assert!(members.usable(1_500, "t").is_none());
 }
@@ -105,12 +105,12 @@
 fn verify_target_that_fails_in_a_row_is_left_alone_longer_and_longer() {
     let mut members = Members::open(1_000);
     members.listed(0, "t", false);
-    assert_eq!((members.failed("t"), members.failed("t")), (None, None));
-    members.sound("t");
-    assert_eq!((members.failed("t"), members.failed("t")), (None, None), "counted anew");
-    let rests: Vec<Option<u64>> = (0..6).map(|_| members.failed("t")).collect();
+    assert_eq!((members.record_failure("t"), members.record_failure("t")), (None, None));
+    members.record_success("t");
+    assert_eq!((members.record_failure("t"), members.record_failure("t")), (None, None), "counted anew");
+    let rests: Vec<Option<u64>> = (0..6).map(|_| members.record_failure("t")).collect();
     assert_eq!(rests, [500, 1_000, 2_000, 4_000, 4_000, 4_000].map(Some));
-    assert_eq!(members.failed("unknown"), None);
+    assert_eq!(members.record_failure("unknown"), None);
 }
 
 #[test]
@@ -118,19 +118,19 @@
     let mut members = Members::open(3_000);
     for name in ["a", "b", "c", "d"] {
         members.listed(0, name, false);
-        members.heard(0, name, report(1, false));
+        members.record_heartbeat(0, name, report(1, false));
     }
     for now in (200..=800).step_by(200) {
-        ["b", "c", "d"].iter().for_each(|it| members.heard(now, it, report(1, false)));
+        ["b", "c", "d"].iter().for_each(|it| members.record_heartbeat(now, it, report(1, false)));
     }
-    assert!(members.quiet(599).is_empty());
-    assert_eq!(members.quiet(800).into_iter().collect::<Vec<_>>(), ["a"]);
+    assert!(members.unresponsive(599).is_empty());
+    assert_eq!(members.unresponsive(800).into_iter().collect::<Vec<_>>(), ["a"]);
     // Its agent died, which says nothing of the target.
-    members.unlinked("a");
-    assert!(members.quiet(800).is_empty());
+    members.agent_disconnected("a");
+    assert!(members.unresponsive(800).is_empty());
     // All are silent: this process slept.
-    members.heard(801, "a", report(1, false));
-    assert!(members.quiet(5_000).is_empty());
+    members.record_heartbeat(801, "a", report(1, false));
+    assert!(members.unresponsive(5_000).is_empty());
 }
 
 /// Entries of the pattern and places that fall to each of them.
@@ -146,14 +146,14 @@
     for _ in 0..ENTRIES {
         let mut members = Members::open(1_000);
         members.listed(0, "t", false);
-        members.heard(0, "t", report(0, false));
+        members.record_heartbeat(0, "t", report(0, false));
         let share = |it: &Members| it.get("t").map_or(0.0, |it| it.share(ENTRIES as f64));
         while share(&members) + 1.0 <= PLACES {
             members.sent("t");
             begun += 1;
         }
         // The report that follows tells of all of them, and the share is the same.
-        members.heard(200, "t", report((ENTRIES as f64 * PLACES) as u32, false));
+        members.record_heartbeat(200, "t", report((ENTRIES as f64 * PLACES) as u32, false));
         assert!((share(&members) - PLACES).abs() < 1e-9);
         members.ended("t");
         assert!(share(&members) < PLACES, "what ends makes room at once");
@@ -168,18 +168,18 @@
     let mut members = Members::open(1_000);
     members.listed(0, "t", false);
     let told = |refuses| Report { refuses, size: 16, group: 7, ..report(0, false) };
-    members.heard(0, "t", told(false));
+    members.record_heartbeat(0, "t", told(false));
     assert_eq!(members.lost_rank(0, "t", STANDS), None);
     for now in (100..=1_800).step_by(100) {
-        members.heard(now, "t", told(true));
+        members.record_heartbeat(now, "t", told(true));
         assert!(members.usable(now, "t").is_none(), "nothing listens there");
         assert_eq!(members.lost_rank(now, "t", STANDS), Some(7));
     }
-    members.heard(1_900, "t", told(true));
+    members.record_heartbeat(1_900, "t", told(true));
     assert_eq!(members.lost_rank(1_900, "t", STANDS), None, "its ranks know by now");
-    members.heard(2_000, "t", told(false));
+    members.record_heartbeat(2_000, "t", told(false));
     assert!(members.usable(2_000, "t").is_some(), "its next life listens");
     // Word of an agent that is silent does not count.
-    members.heard(3_000, "t", told(true));
+    members.record_heartbeat(3_000, "t", told(true));
     assert!(members.usable(4_000, "t").is_some());
 }
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -265,7 +265,7 @@
         let mut changed = false;
         for (name, _) in there {
             let before = self.members.get(name).map(|it| it.report);
-            self.members.heard(now, name, report);
+            self.members.record_heartbeat(now, name, report);
             if report.pace == Pace::Crawling && before.map(|it| it.pace) != Some(Pace::Crawling) {
                 began.push(name.clone());
             }
@@ -296,7 +296,7 @@
 
     /// Records a connection to an agent.
     pub fn up(&mut self, now: Millis, peer: PeerKey, name: &str, incarnation: Incarnation) {
-        self.members.up(now, name, incarnation);
+        self.members.connected(now, name, incarnation);
         self.links.insert(name.to_owned(), peer);
         self.names.insert(peer, name.to_owned());
     }
@@ -305,11 +305,11 @@
     pub fn down(&mut self, peer: PeerKey) -> Option<String> {
         if let Some(ip) = self.agents.remove(&peer) {
             let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == ip);
-            there.for_each(|it| self.members.unlinked(it.0));
+            there.for_each(|it| self.members.agent_disconnected(it.0));
         }
         let name = self.names.remove(&peer)?;
         self.links.remove(&name);
-        self.members.down(&name);
+        self.members.disconnected(&name);
         Some(name)
     }
 
@@ -325,27 +325,27 @@
 
     /// Records a heartbeat.
     pub fn heard(&mut self, now: Millis, name: &str, report: Report) {
-        self.members.heard(now, name, report);
+        self.members.record_heartbeat(now, name, report);
     }
 
     /// Records that an agent said it is leaving.
     pub fn leave(&mut self, name: &str) {
-        self.members.leave(name);
+        self.members.mark_leaving(name);
     }
 
     /// Records that a target refused its agent's connection.
     pub fn away(&mut self, name: &str) {
-        self.members.away(name);
+        self.members.refused_connection(name);
     }
 
     /// Records what a target told of its load.
     pub fn told(&mut self, now: Millis, name: &str, requests: u32) {
-        self.members.told(now, name, requests);
+        self.members.record_load(now, name, requests);
     }
 
     /// Records that a target is better left alone until `until`.
     pub fn leave_alone(&mut self, name: &str, until: Millis) {
-        self.members.leave_alone(name, until);
+        self.members.back_off(name, until);
     }
 
     /// Records that another target answered at the address of this one, which
@@ -360,14 +360,14 @@
 
     /// Records that a target answered a request as it should.
     pub fn sound(&mut self, name: &str) {
-        self.members.sound(name);
+        self.members.record_success(name);
     }
 
     /// Records that a target failed a request. After some in a row it is left
     /// alone, while most of those that serve the same are not; returns for how
     /// long.
     pub fn failed(&mut self, now: Millis, name: &str) -> Option<Millis> {
-        let rest = self.members.failed(name)?;
+        let rest = self.members.record_failure(name)?;
         let serves = self.listed.get(name)?.instance.serves.clone();
         let names = self.serving.get(&(Kind::Service, serves))?;
         let alone = |it: &&String| {
@@ -418,7 +418,7 @@
         let replaced = self.replaced.contains(name);
         let unknown = self.is_unknown(now, name) || self.is_broken(name);
         let may = reached && !replaced && !stopping && !listed && !unknown;
-        self.members.usable_later(now, name).filter(|_| may).map(|it| it.alone)
+        self.members.usable_after_back_off(now, name).filter(|_| may).map(|it| it.alone)
     }
 
     fn candidate<'a>(&self, now: Millis, name: &'a str) -> Option<Candidate<'a>> {
--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -81,13 +81,13 @@
 
     /// Looks again whose machine counts as asleep. Returns those that do since now.
     pub fn watch_quiet(&mut self, now: Millis) -> Vec<String> {
-        let quiet = self.members.quiet(now);
+        let quiet = self.members.unresponsive(now);
         let fresh = quiet.difference(&self.quiet).cloned().collect();
         self.find_broken(now);
         self.notices.sweep(now);
-        self.members.age(now);
+        self.members.expire_loads(now);
         self.counts = self.count(now);
-        self.idle = self.members.standing(now).chain(&quiet).cloned().collect();
+        self.idle = self.members.stalled(now).chain(&quiet).cloned().collect();
         self.quiet = quiet;
         fresh
     }
