--- a/crates/sablepass-core/src/membership.rs
+++ b/crates/sablepass-core/src/membership.rs
@@ -118,7 +118,7 @@
     /// It refused a connection or work, or failed, and is left alone until then: a guess,
     /// unlike the rest that a target asks for. Of a target behind its agent, the end of the rest
     /// that the agent was asked for.
-    pub alone: Millis,
+    pub backed_off_until: Millis,
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its last report.
@@ -128,11 +128,11 @@
     /// The connection to the agent beside it stands.
     pub linked: bool,
     /// When that came.
-    pub heard: Millis,
+    pub heartbeat_at: Millis,
     /// When the target itself, not only its agent, last gave a sign of life.
-    pub alive: Millis,
+    pub last_alive: Millis,
     /// Since when its agent says that it refuses connections.
-    pub refuses: Option<Millis>,
+    pub refusing_since: Option<Millis>,
     /// It is leaving, for good.
     pub leaving: bool,
     /// Requests of others there by that report: all less this entry's own
@@ -141,9 +141,9 @@
     /// Requests of this entry there now.
     pub own: u32,
     /// Those that it had there when the target or its agent last told its load.
-    pub told: u32,
+    pub own_at_load: u32,
     /// When that was.
-    pub told_at: Millis,
+    pub load_at: Millis,
     /// Requests of this entry that failed there, one after the other.
     pub failures: u32,
 }
@@ -153,8 +153,8 @@
     /// those last told, and all that this one has sent since. The others send
     /// as many, of which nothing is known yet.
     pub fn share(&self, entries: f64) -> f64 {
-        let told = f64::from(self.others + self.told) / entries;
-        (told + f64::from(self.own) - f64::from(self.told)).max(0.0)
+        let told = f64::from(self.others + self.own_at_load) / entries;
+        (told + f64::from(self.own) - f64::from(self.own_at_load)).max(0.0)
     }
 }
 
@@ -178,19 +178,19 @@
         let own = known.map_or(0, |it| it.own);
         let member = Member {
             source: Source::Heartbeats,
-            alone: 0,
+            backed_off_until: 0,
             incarnation,
             report: Report::default(),
             reported: false,
             linked: false,
-            heard: now,
-            alive: now,
-            refuses: None,
+            heartbeat_at: now,
+            last_alive: now,
+            refusing_since: None,
             leaving,
             others: 0,
             own,
-            told: 0,
-            told_at: now,
+            own_at_load: 0,
+            load_at: now,
             failures: known.map_or(0, |it| it.failures),
         };
         self.members.insert(name.to_owned(), member);
@@ -216,9 +216,9 @@
     /// run and wait there, this entry's own included.
     pub fn record_load(&mut self, now: Millis, name: &str, requests: u32) {
         if let Some(member) = self.members.get_mut(name) {
-            member.told_at = now;
+            member.load_at = now;
             member.others = requests.saturating_sub(member.own);
-            member.told = member.own;
+            member.own_at_load = member.own;
         }
     }
 
@@ -226,18 +226,18 @@
     /// full nothing new would ever be heard where no agent tells, since nothing is sent there.
     pub fn expire_loads(&mut self, now: Millis) {
         let old = |it: &&mut Member| {
-            it.source == Source::Listing && now.saturating_sub(it.told_at) >= TOLD
+            it.source == Source::Listing && now.saturating_sub(it.load_at) >= TOLD
         };
         for member in self.members.values_mut().filter(old) {
             member.others = 0;
-            member.told = 0;
+            member.own_at_load = 0;
         }
     }
 
     /// Records that a target is better left alone until `until`.
     pub fn back_off(&mut self, name: &str, until: Millis) {
         if let Some(member) = self.members.get_mut(name) {
-            member.alone = member.alone.max(until);
+            member.backed_off_until = member.backed_off_until.max(until);
         }
     }
 
@@ -263,19 +263,19 @@
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
-        member.heard = now;
+        member.heartbeat_at = now;
         member.reported = true;
         member.linked = true;
-        member.alive = now.saturating_sub(report.engine_age.unwrap_or(0));
+        member.last_alive = now.saturating_sub(report.engine_age.unwrap_or(0));
         if member.source == Source::Heartbeats {
             // The agent was asked, and keeps to it by itself.
-            member.alone = now.saturating_add(report.rest);
+            member.backed_off_until = now.saturating_add(report.rest);
         }
-        member.refuses = report.refuses.then(|| member.refuses.unwrap_or(now));
+        member.refusing_since = report.refuses.then(|| member.refusing_since.unwrap_or(now));
         member.report = report;
-        member.told_at = now;
+        member.load_at = now;
         member.others = report.in_flight.saturating_sub(member.own);
-        member.told = member.own;
+        member.own_at_load = member.own;
         member.leaving |= report.leaving;
     }
 
@@ -294,7 +294,7 @@
             let told = |it: &Member| it.source == Source::Listing && it.linked;
             self.members.iter().filter(move |it| told(it.1))
         };
-        let quiet = linked().filter(|it| now.saturating_sub(it.1.heard) >= QUIET);
+        let quiet = linked().filter(|it| now.saturating_sub(it.1.heartbeat_at) >= QUIET);
         let quiet: BTreeSet<String> = quiet.map(|it| it.0.clone()).collect();
         if quiet.len() * 2 < linked().count() { quiet } else { BTreeSet::new() }
     }
@@ -302,7 +302,7 @@
     /// Records that the connection went down.
     pub fn disconnected(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
-            member.heard = 0;
+            member.heartbeat_at = 0;
         }
     }
 
@@ -336,14 +336,14 @@
 
     /// The agent, if it may get new work.
     pub fn usable(&self, now: Millis, name: &str) -> Option<&Member> {
-        self.usable_after_back_off(now, name).filter(|it| now >= it.alone)
+        self.usable_after_back_off(now, name).filter(|it| now >= it.backed_off_until)
     }
 
     /// The agent, if it may get new work once it is no longer left alone.
     pub fn usable_after_back_off(&self, now: Millis, name: &str) -> Option<&Member> {
         let member = self.members.get(name)?;
-        let silent = now.saturating_sub(member.heard) >= self.silence;
-        let stalled = now.saturating_sub(member.alive) >= self.silence * STALLED;
+        let silent = now.saturating_sub(member.heartbeat_at) >= self.silence;
+        let stalled = now.saturating_sub(member.last_alive) >= self.silence * STALLED;
         let lost = match member.source {
             Source::Heartbeats => silent || stalled || member.report.away,
             Source::Listing => self.is_closed(now, member) || self.is_dead(now, member),
@@ -354,20 +354,20 @@
     /// Whether a listed target's agent said lately that it takes no work, as
     /// when its group is not complete. Word of a silent agent does not count.
     fn is_closed(&self, now: Millis, member: &Member) -> bool {
-        member.report.away && now.saturating_sub(member.heard) < self.silence
+        member.report.away && now.saturating_sub(member.heartbeat_at) < self.silence
     }
 
     /// Whether a listed target's agent said lately that it refuses connections:
     /// the list names it until its lease is over, for seconds.
     fn is_dead(&self, now: Millis, member: &Member) -> bool {
-        member.refuses.is_some() && now.saturating_sub(member.heard) < self.silence
+        member.refusing_since.is_some() && now.saturating_sub(member.heartbeat_at) < self.silence
     }
 
     /// The group that lost this target and has not noticed yet: it stands for
     /// `stands` before it gives up a rank.
     pub fn lost_rank(&self, now: Millis, name: &str, stands: Millis) -> Option<u32> {
         let member = self.get(name).filter(|it| self.is_dead(now, it))?;
-        let noticed = member.refuses.is_some_and(|since| now >= since + stands + NOTICED);
+        let noticed = member.refusing_since.is_some_and(|since| now >= since + stands + NOTICED);
         (member.report.size > 0 && !noticed).then_some(member.report.group)
     }
 
@@ -378,21 +378,21 @@
 
     /// Targets of which it was told lately that their group stands.
     pub fn stalled(&self, now: Millis) -> impl Iterator<Item = &String> {
-        let stands = move |it: &Member| it.report.stands && now.saturating_sub(it.heard) < TOLD;
+        let stands = move |it: &Member| it.report.stands && now.saturating_sub(it.heartbeat_at) < TOLD;
         self.members.iter().filter(move |it| stands(it.1)).map(|it| it.0)
     }
 
     /// Lag of a group's map as told beside a rank; none if it was not told lately.
     pub fn lag(&self, now: Millis, name: &str) -> Option<u32> {
         let member = self.get(name)?;
-        let fresh = now.saturating_sub(member.heard) < self.silence;
+        let fresh = now.saturating_sub(member.heartbeat_at) < self.silence;
         (fresh && member.report.lag > 0).then_some(member.report.lag)
     }
 
     /// The most entries that an agent heard lately is connected to; none if
     /// none was heard.
     pub fn entries(&self, now: Millis) -> Option<usize> {
-        let fresh = |it: &&Member| it.reported && now.saturating_sub(it.heard) < TOLD;
+        let fresh = |it: &&Member| it.reported && now.saturating_sub(it.heartbeat_at) < TOLD;
         let told = self.members.values().filter(fresh).map(|it| it.report.entries);
         told.max().filter(|it| *it > 0).map(|it| it as usize)
     }
--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -46,7 +46,7 @@
                 serde_json::json!({
                     "target": name, "usable": members.usable(now, name).is_some(),
                     "leaving": it.leaving, "in_flight": it.report.in_flight, "own": it.own,
-                    "silent_ms": now.saturating_sub(it.heard),
+                    "silent_ms": now.saturating_sub(it.heartbeat_at),
                 })
             })
             .collect();
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -372,7 +372,7 @@
         let names = self.serving.get(&(Kind::Service, serves))?;
         let alone = |it: &&String| {
             let member = self.members.get(it);
-            member.is_some_and(|it| now < it.alone)
+            member.is_some_and(|it| now < it.backed_off_until)
         };
         if names.iter().filter(alone).count() * 2 >= names.len() {
             return None;
@@ -393,12 +393,12 @@
 
     /// When a target last gave a sign of life.
     pub fn last_alive(&self, name: &str) -> Millis {
-        self.members.get(name).map_or(0, |it| it.alive)
+        self.members.get(name).map_or(0, |it| it.last_alive)
     }
 
     /// Connections whose agent has been silent for too long.
     pub fn silent(&self, now: Millis) -> Vec<PeerKey> {
-        let heard = |name: &str| self.members.get(name).map_or(0, |it| it.heard);
+        let heard = |name: &str| self.members.get(name).map_or(0, |it| it.heartbeat_at);
         let silent = |name: &str| now.saturating_sub(heard(name)) >= self.options.silence;
         self.names.iter().filter(|(_, name)| silent(name)).map(|(peer, _)| *peer).collect()
     }
@@ -418,7 +418,7 @@
         let replaced = self.replaced.contains(name);
         let unknown = self.is_unknown(now, name) || self.is_broken(name);
         let may = reached && !replaced && !stopping && !listed && !unknown;
-        self.members.usable_after_back_off(now, name).filter(|_| may).map(|it| it.alone)
+        self.members.usable_after_back_off(now, name).filter(|_| may).map(|it| it.backed_off_until)
     }
 
     fn candidate<'a>(&self, now: Millis, name: &'a str) -> Option<Candidate<'a>> {
--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -79,7 +79,7 @@
     /// Whether a target rests that is reached through its agent.
     fn rests_behind_agent(&self, now: Millis, name: &str) -> bool {
         let member = self.members.get(name);
-        member.is_some_and(|it| it.source == Source::Heartbeats && now < it.alone)
+        member.is_some_and(|it| it.source == Source::Heartbeats && now < it.backed_off_until)
     }
 
     /// When the first target takes requests again, where all that could serve are left alone
