--- a/crates/sablepass-core/src/membership.rs
+++ b/crates/sablepass-core/src/membership.rs
@@ -1,54 +1,54 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which targets are live, as one entry sees it.
+//! Liveness, load and failures of the targets, as one entry sees them.
 //!
-//! The agent's own heartbeat comes first, the lagging instance list second.
-//! Leaving is sticky: an incarnation that once said it leaves is never
-//! chosen again, whatever arrives late.
+//! An agent's heartbeats take precedence over the instance list, which lags behind. Leaving is
+//! final: an incarnation that has announced that it leaves never gets new work again, even if a
+//! late message says otherwise.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::id::{Incarnation, Millis};
 use crate::limits::Rate;
 
-/// An engine that has not answered its agent for so many times the silence
-/// allowed to agents is stalled: its load is read less often than heartbeats come.
-const STALLED: Millis = 3;
+/// An engine counts as stalled after this many times the silence that is allowed to agents: its
+/// load is read less often than heartbeats are sent.
+const ENGINE_SILENCE_FACTOR: Millis = 3;
 
-/// How long a report counts for what changes by itself: some heartbeats.
-const TOLD: Millis = 1_000;
+/// How long a reported value that changes by itself stays valid: several heartbeat intervals.
+const REPORT_VALIDITY: Millis = 1_000;
 
-/// Time without a word from an agent whose connection stands after which its
-/// machine counts as asleep: three of the reports that agents give every 200 ms
-/// by the settings of the users' platform.
-const QUIET: Millis = 600;
+/// Time without a heartbeat over an open connection after which the agent's machine counts as
+/// unresponsive: three intervals of 200 ms, as the users' platform configures them.
+const UNRESPONSIVE_AFTER: Millis = 600;
 
-/// Time from a group's giving up a rank until its other ranks' agents have told
-/// so: a report each 200 ms.
-const NOTICED: Millis = 300;
+/// Time from when a group gives up a rank until the agents of its other ranks have reported this:
+/// more than one report interval of 200 ms.
+const REPORT_DELAY: Millis = 300;
 
-/// How long a target takes, where others wait for it.
+/// Speed of a target whose group runs in lock-step, so that the other ranks wait for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Pace {
-    /// As long as it should.
+    /// The usual time.
     #[default]
     Sound,
-    /// Longer, so that new work had better go elsewhere.
+    /// Slower than usual: new work should go to other targets.
     Slow,
-    /// So much longer that what runs there had better go on elsewhere.
+    /// Severely degraded: requests that run there should move to other targets.
     Crawling,
 }
 
 impl Pace {
-    /// Time for the same work, relative to a sound target, from which one is
-    /// slow: more than sound ones differ by.
+    /// Time for the same work, relative to a healthy target, from which a target is slow: more than
+    /// healthy targets differ by.
     pub const SLOW: f64 = 1.25;
-    /// The same from which one crawls. A rank's own part is a seventh of a pass
-    /// of 80 ms, which may take 120: at 2 it takes 91, with queued prompts more.
+    /// Relative time from which a target is severely degraded. A rank's own part is a seventh of a
+    /// pass of 80 ms, which may take 120 ms: at 2 the pass takes 91 ms, and more with queued
+    /// prompts.
     pub const CRAWLING: f64 = 2.0;
 
-    /// Judges the time for the same work.
+    /// Classifies the time for the same work, relative to a healthy target.
     pub fn of(pace: f64) -> Self {
         match pace {
             it if it >= Self::CRAWLING => Self::Crawling,
@@ -58,107 +58,109 @@
     }
 }
 
-/// Failures in a row from which a target is left alone. Some services fail one
-/// request in seven by themselves; three in a row are one in 340 there.
-const FAILURES: u32 = 3;
-/// How long it is left alone at first; twice as long after each further
-/// failure. Long against a request of a service, short against a fault.
-const REST_FIRST: Millis = 500;
-/// How long at most: a target that is sound again gets no work for that long.
-const REST_LAST: Millis = 4_000;
+/// Consecutive failures from which a target is backed off. Some services fail one request in seven
+/// by themselves; there, three in a row happen once in 340.
+const BACK_OFF_FAILURES: u32 = 3;
+/// First back-off time, doubled with each further failure. Long compared with a request of a
+/// service, short compared with a fault.
+const BACK_OFF_FIRST: Millis = 500;
+/// Longest back-off time: a target that has recovered gets no work for up to this long.
+const BACK_OFF_MAX: Millis = 4_000;
 
-/// A heartbeat.
+/// Content of a heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests the agent holds.
+    /// Requests that the agent has admitted.
     pub in_flight: u32,
-    /// Requests it may hold.
+    /// Requests that the agent may admit at once.
     pub capacity: u32,
-    /// It takes no new work.
+    /// The target is leaving and takes no new work.
     pub leaving: bool,
-    /// The target refuses connections.
+    /// The target takes no work for now: it refuses connections, or its group is not ready.
     pub away: bool,
-    /// How long it takes, where others wait for it.
+    /// Speed of the target, if the other ranks of a group wait for it.
     pub pace: Pace,
-    /// Ranks of its group; 0 if it is a rank of none.
+    /// Number of ranks in the target's group; 0 if it belongs to no group.
     pub size: u32,
-    /// Thousandths of the mean that the rank with most of the experts' work has,
-    /// if its agent plans its group's maps; else 0.
+    /// Load of the rank with most of the experts' work, in thousandths of the mean, if this agent
+    /// plans the group's maps; else 0.
     pub lag: u32,
-    /// Which group it is a rank of, among those of its service.
+    /// Identifies the target's group among those of its service.
     pub group: u32,
-    /// Its group makes no step although there is work.
+    /// The group is stalled: it runs no step although there is work.
     pub stands: bool,
     /// The target refuses its agent's connections.
     pub refuses: bool,
-    /// Entries connected to the agent; 0 if it did not say.
+    /// Entries connected to the agent; 0 if not reported.
     pub entries: u32,
-    /// How much longer the target wants nothing.
+    /// Remaining time of the pause that the target requested.
     pub rest: Millis,
-    /// What the target takes from all entries together, if it names a limit to its agent.
+    /// Rate that the target accepts from all entries together, if it announces a limit to its
+    /// agent.
     pub limit: Option<Rate>,
-    /// Time since the engine last answered its agent; none if it is not asked.
+    /// Time since the engine last answered its agent; none if the agent does not query the engine.
     pub engine_age: Option<Millis>,
 }
 
-/// What tells that a target is live.
+/// Source of the knowledge that a target is live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Heartbeats of its agent.
+    /// Heartbeats of the target's agent.
     Heartbeats,
-    /// The instance list; heartbeats only tell its load.
+    /// The instance list; heartbeats only report the load.
     Listing,
 }
 
-/// A target's agent as last heard of.
+/// Last known state of a target and its agent.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What tells that it is live.
+    /// How this entry knows that the target is live.
     pub source: Source,
-    /// It refused a connection or work, or failed, and is left alone until then: a guess,
-    /// unlike the rest that a target asks for. Of a target behind its agent, the end of the rest
-    /// that the agent was asked for.
+    /// The target gets no work before this time, because it refused a connection or work, or
+    /// failed. For a target reached directly this is the entry's own estimate, unlike the pause
+    /// that a target requests; for a target behind its agent it is the end of the pause requested
+    /// from the agent.
     pub backed_off_until: Millis,
-    /// Its incarnation.
+    /// Incarnation of the agent; 0 for a target that is known from the instance list only.
     pub incarnation: Incarnation,
-    /// Its last report.
+    /// Last heartbeat received.
     pub report: Report,
-    /// It reported at all.
+    /// Whether a heartbeat was received.
     pub reported: bool,
-    /// The connection to the agent beside it stands.
+    /// Whether the connection to the agent on the target's machine is open.
     pub linked: bool,
-    /// When that came.
+    /// When the last heartbeat was received.
     pub heartbeat_at: Millis,
-    /// When the target itself, not only its agent, last gave a sign of life.
+    /// When the target itself, not only its agent, last responded.
     pub last_alive: Millis,
-    /// Since when its agent says that it refuses connections.
+    /// Since when the agent has reported that the target refuses connections.
     pub refusing_since: Option<Millis>,
-    /// It is leaving, for good.
+    /// Whether the target is leaving; never reset for an incarnation.
     pub leaving: bool,
-    /// Requests of others there by that report: all less this entry's own
-    /// at that time. What this entry sends later is known better from `own`.
+    /// Requests of other entries at the target: all that it last reported, less this entry's own at
+    /// that time. Later requests of this entry are counted exactly in `own`.
     pub others: u32,
-    /// Requests of this entry there now.
+    /// Requests of this entry that are in flight at the target.
     pub own: u32,
-    /// Those that it had there when the target or its agent last told its load.
+    /// Value of `own` when the target or its agent last reported its load.
     pub own_at_load: u32,
-    /// When that was.
+    /// When the target or its agent last reported its load.
     pub load_at: Millis,
-    /// Requests of this entry that failed there, one after the other.
+    /// Consecutive failures of this entry's requests.
     pub failures: u32,
 }
 
 impl Member {
-    /// Requests there that fall to one of so many entries: an equal part of
-    /// those last told, and all that this one has sent since. The others send
-    /// as many, of which nothing is known yet.
+    /// Load of the target attributed to one of `entries` entries: an equal part of the load last
+    /// reported, and all requests that this entry has sent since. The other entries are assumed to
+    /// have sent as many since, of which nothing is known yet.
     pub fn share(&self, entries: f64) -> f64 {
-        let told = f64::from(self.others + self.own_at_load) / entries;
-        (told + f64::from(self.own) - f64::from(self.own_at_load)).max(0.0)
+        let reported = f64::from(self.others + self.own_at_load) / entries;
+        (reported + f64::from(self.own) - f64::from(self.own_at_load)).max(0.0)
     }
 }
 
-/// All agents that this process has heard of.
+/// All targets and agents known to this process.
 #[derive(Debug)]
 pub struct Members {
     silence: Millis,
@@ -166,12 +168,12 @@
 }
 
 impl Members {
-    /// Opens an empty table. An agent silent for `silence` is not chosen.
+    /// Creates an empty table. An agent without a heartbeat for `silence` gets no work.
     pub fn open(silence: Millis) -> Self {
         Self { silence, members: HashMap::new() }
     }
 
-    /// Records that a connection to an agent came up.
+    /// Records that a connection to an agent was established.
     pub fn connected(&mut self, now: Millis, name: &str, incarnation: Incarnation) {
         let known = self.members.get(name).filter(|it| it.incarnation == incarnation);
         let leaving = known.is_some_and(|it| it.leaving);
@@ -196,7 +198,7 @@
         self.members.insert(name.to_owned(), member);
     }
 
-    /// Records that the instance list names a target.
+    /// Records that the instance list contains a target.
     pub fn listed(&mut self, now: Millis, name: &str, leaving: bool) {
         if !self.members.contains_key(name) {
             self.connected(now, name, Incarnation(0));
@@ -207,13 +209,13 @@
         }
     }
 
-    /// Records that the instance list names a target no more.
+    /// Records that the instance list no longer contains a target.
     pub fn unlisted(&mut self, name: &str) {
         self.members.remove(name);
     }
 
-    /// Records what a target said of its load with an answer: requests that
-    /// run and wait there, this entry's own included.
+    /// Records the load that a target reported with a response: running and queued requests,
+    /// including this entry's own.
     pub fn record_load(&mut self, now: Millis, name: &str, requests: u32) {
         if let Some(member) = self.members.get_mut(name) {
             member.load_at = now;
@@ -222,11 +224,11 @@
         }
     }
 
-    /// Forgets the load that listed targets told too long ago: of one that is taken to be
-    /// full nothing new would ever be heard where no agent tells, since nothing is sent there.
+    /// Forgets loads of listed targets that are too old. Without agents, a target that is taken to
+    /// be full would never report a new load, since it gets no requests.
     pub fn expire_loads(&mut self, now: Millis) {
         let old = |it: &&mut Member| {
-            it.source == Source::Listing && now.saturating_sub(it.load_at) >= TOLD
+            it.source == Source::Listing && now.saturating_sub(it.load_at) >= REPORT_VALIDITY
         };
         for member in self.members.values_mut().filter(old) {
             member.others = 0;
@@ -234,28 +236,28 @@
         }
     }
 
-    /// Records that a target is better left alone until `until`.
+    /// Backs a target off until `until`.
     pub fn back_off(&mut self, name: &str, until: Millis) {
         if let Some(member) = self.members.get_mut(name) {
             member.backed_off_until = member.backed_off_until.max(until);
         }
     }
 
-    /// Records that a target answered a request as it should.
+    /// Records that a target completed a request successfully.
     pub fn record_success(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.failures = 0;
         }
     }
 
-    /// Records that a target failed a request, and returns how long it had
-    /// better be left alone. One that fails at once has the least load, and so
-    /// would get most of the work.
+    /// Records that a target failed a request. Returns for how long to back it off, if it failed
+    /// often enough in a row: a target that fails at once has the least load, and would get most of
+    /// the work.
     pub fn record_failure(&mut self, name: &str) -> Option<Millis> {
         let member = self.members.get_mut(name)?;
         member.failures += 1;
-        let more = member.failures.checked_sub(FAILURES)?;
-        Some((REST_FIRST << more.min(8)).min(REST_LAST))
+        let excess = member.failures.checked_sub(BACK_OFF_FAILURES)?;
+        Some((BACK_OFF_FIRST << excess.min(8)).min(BACK_OFF_MAX))
     }
 
     /// Records a heartbeat.
@@ -268,7 +270,7 @@
         member.linked = true;
         member.last_alive = now.saturating_sub(report.engine_age.unwrap_or(0));
         if member.source == Source::Heartbeats {
-            // The agent was asked, and keeps to it by itself.
+            // The pause was requested from the agent, which observes it by itself.
             member.backed_off_until = now.saturating_add(report.rest);
         }
         member.refusing_since = report.refuses.then(|| member.refusing_since.unwrap_or(now));
@@ -279,71 +281,72 @@
         member.leaving |= report.leaving;
     }
 
-    /// Records that the connection to the agent beside a listed target ended.
-    /// Its process may have died and the target go on.
+    /// Records that the connection to the agent on a listed target's machine ended. The agent's
+    /// process may have died while the target still runs.
     pub fn agent_disconnected(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.linked = false;
         }
     }
 
-    /// Listed targets whose machine counts as asleep. None while that holds for
-    /// half of them: then it is this process that heard nothing.
+    /// Listed targets whose machine counts as unresponsive. Empty if that applies to half of them
+    /// or more: then this process itself probably received nothing.
     pub fn unresponsive(&self, now: Millis) -> BTreeSet<String> {
         let linked = || {
-            let told = |it: &Member| it.source == Source::Listing && it.linked;
-            self.members.iter().filter(move |it| told(it.1))
+            let connected = |it: &Member| it.source == Source::Listing && it.linked;
+            self.members.iter().filter(move |it| connected(it.1))
         };
-        let quiet = linked().filter(|it| now.saturating_sub(it.1.heartbeat_at) >= QUIET);
-        let quiet: BTreeSet<String> = quiet.map(|it| it.0.clone()).collect();
-        if quiet.len() * 2 < linked().count() { quiet } else { BTreeSet::new() }
+        let unresponsive =
+            linked().filter(|it| now.saturating_sub(it.1.heartbeat_at) >= UNRESPONSIVE_AFTER);
+        let unresponsive: BTreeSet<String> = unresponsive.map(|it| it.0.clone()).collect();
+        if unresponsive.len() * 2 < linked().count() { unresponsive } else { BTreeSet::new() }
     }
 
-    /// Records that the connection went down.
+    /// Records that the connection to an agent ended.
     pub fn disconnected(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.heartbeat_at = 0;
         }
     }
 
-    /// Records that the agent refused because it is leaving.
+    /// Records that the agent refused a request because it is leaving.
     pub fn mark_leaving(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.leaving = true;
         }
     }
 
-    /// Records that the target refused a connection. Its agent says when that is over.
+    /// Records that the target refused a connection. The agent's next heartbeat resets this.
     pub fn refused_connection(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.report.away = true;
         }
     }
 
-    /// Records a request sent.
+    /// Records that a request was sent to a target.
     pub fn sent(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.own += 1;
         }
     }
 
-    /// Records the end of a request sent.
+    /// Records that a request sent to a target ended.
     pub fn ended(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
             member.own = member.own.saturating_sub(1);
         }
     }
 
-    /// The agent, if it may get new work.
+    /// The target, if it may get new work now.
     pub fn usable(&self, now: Millis, name: &str) -> Option<&Member> {
         self.usable_after_back_off(now, name).filter(|it| now >= it.backed_off_until)
     }
 
-    /// The agent, if it may get new work once it is no longer left alone.
+    /// The target, if it may get new work once its back-off ends.
     pub fn usable_after_back_off(&self, now: Millis, name: &str) -> Option<&Member> {
         let member = self.members.get(name)?;
         let silent = now.saturating_sub(member.heartbeat_at) >= self.silence;
-        let stalled = now.saturating_sub(member.last_alive) >= self.silence * STALLED;
+        let stalled = now.saturating_sub(member.last_alive) >= self.silence * ENGINE_SILENCE_FACTOR;
         let lost = match member.source {
             Source::Heartbeats => silent || stalled || member.report.away,
             Source::Listing => self.is_closed(now, member) || self.is_dead(now, member),
@@ -351,58 +354,62 @@
         (!lost && !member.leaving).then_some(member)
     }
 
-    /// Whether a listed target's agent said lately that it takes no work, as
-    /// when its group is not complete. Word of a silent agent does not count.
+    /// Whether the agent reported recently that a listed target takes no work, as when its group is
+    /// incomplete. The report of an agent that is silent since does not count.
     fn is_closed(&self, now: Millis, member: &Member) -> bool {
         member.report.away && now.saturating_sub(member.heartbeat_at) < self.silence
     }
 
-    /// Whether a listed target's agent said lately that it refuses connections:
-    /// the list names it until its lease is over, for seconds.
+    /// Whether the agent reported recently that a listed target refuses connections. The instance
+    /// list contains the target for several seconds more, until its lease expires.
     fn is_dead(&self, now: Millis, member: &Member) -> bool {
         member.refusing_since.is_some() && now.saturating_sub(member.heartbeat_at) < self.silence
     }
 
-    /// The group that lost this target and has not noticed yet: it stands for
-    /// `stands` before it gives up a rank.
-    pub fn lost_rank(&self, now: Millis, name: &str, stands: Millis) -> Option<u32> {
+    /// The group that lost this target as a rank and has not noticed yet: it stalls for `stall`
+    /// before it gives up a rank.
+    pub fn lost_rank(&self, now: Millis, name: &str, stall: Millis) -> Option<u32> {
         let member = self.get(name).filter(|it| self.is_dead(now, it))?;
-        let noticed = member.refusing_since.is_some_and(|since| now >= since + stands + NOTICED);
+        let noticed =
+            member.refusing_since.is_some_and(|since| now >= since + stall + REPORT_DELAY);
         (member.report.size > 0 && !noticed).then_some(member.report.group)
     }
 
-    /// Whether a target is known and takes no work for now.
+    /// Whether a target is known, is not leaving and takes no work for now.
     pub fn closed(&self, now: Millis, name: &str) -> bool {
         self.get(name).is_some_and(|it| !it.leaving && self.is_closed(now, it))
     }
 
-    /// Targets of which it was told lately that their group stands.
+    /// Targets whose group was reported recently as stalled.
     pub fn stalled(&self, now: Millis) -> impl Iterator<Item = &String> {
-        let stands = move |it: &Member| it.report.stands && now.saturating_sub(it.heartbeat_at) < TOLD;
-        self.members.iter().filter(move |it| stands(it.1)).map(|it| it.0)
+        let stalled = move |it: &Member| {
+            it.report.stands && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY
+        };
+        self.members.iter().filter(move |it| stalled(it.1)).map(|it| it.0)
     }
 
-    /// Lag of a group's map as told beside a rank; none if it was not told lately.
+    /// Map lag of the target's group as reported by its agent; none without a recent report.
     pub fn lag(&self, now: Millis, name: &str) -> Option<u32> {
         let member = self.get(name)?;
         let fresh = now.saturating_sub(member.heartbeat_at) < self.silence;
         (fresh && member.report.lag > 0).then_some(member.report.lag)
     }
 
-    /// The most entries that an agent heard lately is connected to; none if
-    /// none was heard.
+    /// Largest number of connected entries that an agent reported recently; none without a report.
     pub fn entries(&self, now: Millis) -> Option<usize> {
-        let fresh = |it: &&Member| it.reported && now.saturating_sub(it.heartbeat_at) < TOLD;
-        let told = self.members.values().filter(fresh).map(|it| it.report.entries);
-        told.max().filter(|it| *it > 0).map(|it| it as usize)
+        let fresh = |it: &&Member| {
+            it.reported && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY
+        };
+        let reported = self.members.values().filter(fresh).map(|it| it.report.entries);
+        reported.max().filter(|it| *it > 0).map(|it| it as usize)
     }
 
-    /// The agent, in whatever state.
+    /// The target in any state.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// All agents.
+    /// All known targets.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Member)> {
         self.members.iter().map(|(name, it)| (name.as_str(), it))
     }
