--- a/crates/sablepass-core/src/limits.rs
+++ b/crates/sablepass-core/src/limits.rs
@@ -1,240 +1,250 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A limit that a target names: requests a second that it takes from all entries together.
+//! The rate limit that a target announces: requests per second that it accepts from all entries
+//! together.
 //!
-//! It holds for as long as the target says so. Answers come out of order, over many
-//! connections, so a lower figure counts at once, while a higher one or the end counts only
-//! by answers to requests that were sent after the limit was last heard of. What is sent
-//! under a limit is bounded by a bucket that begins empty: what came just before the
-//! limit was heard of counts as the burst.
+//! The limit holds until the target withdraws it. Responses arrive out of order over many
+//! connections, so a lower rate applies at once, while a higher rate or the end of the limit is
+//! taken only from responses to requests that were sent after the limit was last announced.
+//! Requests under a limit pass a token bucket that starts empty: requests sent just before the
+//! limit became known count as the burst.
 
 use crate::id::Millis;
 
-/// Answers in a row without a limit that end it: a target in need may leave it out of two.
-const WITHOUT: u32 = 3;
-/// How long an end, or a higher figure, that another process told waits for an answer that
-/// says otherwise: longer than such answers are under way.
-const SETTLES: Millis = 1_000;
-/// Part by which a figure differs from the one last told before it is told again.
-const TOLD_PART: f64 = 0.1;
-/// Requests a second that go to a target whatever its limit, over all entries: without
-/// any, nobody would hear that the limit is over.
-const TRIAL: f64 = 0.1;
-/// Seconds of an entry's part that it may send at once, if that is more than one request.
-const BURST: f64 = 0.25;
-/// Requests that an agent lets through at once, at least.
-const GUARD: f64 = 2.0;
-/// What a bucket may lack of a whole request by rounding.
+/// Consecutive responses without a limit that end it: an overloaded target may omit the limit from
+/// two in a row.
+const RESPONSES_WITHOUT_LIMIT: u32 = 3;
+/// How long the end of a limit, or a higher rate, reported by a peer waits for a contradicting
+/// response: longer than such responses are in flight.
+const PENDING_DELAY: Millis = 1_000;
+/// Relative difference from the rate last sent to peers from which a new rate is sent.
+const SIGNIFICANT_CHANGE: f64 = 0.1;
+/// Requests per second sent to a target whatever its limit, over all entries: without any, no entry
+/// would learn that the limit has ended.
+const MIN_PER_SECOND: f64 = 0.1;
+/// Burst of an entry in seconds of its share, if that is more than one request.
+const BURST_SECONDS: f64 = 0.25;
+/// Smallest burst of an agent, in requests.
+const AGENT_BURST_REQUESTS: f64 = 2.0;
+/// Tolerance for rounding errors in a bucket's level, in requests.
 const ROUNDING: f64 = 1e-6;
 
-/// Requests a second: a number that is finite and not negative.
+/// A rate in requests per second, finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
 impl Rate {
-    /// None if it is no rate.
+    /// Creates a rate; none if the value is negative or not finite.
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// What is sent under a limit of this: some requests even if it allows none.
+    /// The rate used under this limit: at least a few requests, even if the limit allows none.
     pub fn usable(self) -> Self {
-        Self(self.0.max(TRIAL))
+        Self(self.0.max(MIN_PER_SECOND))
     }
 
-    /// One of so many equal parts.
+    /// One of `parts` equal parts.
     pub fn part(self, parts: usize) -> Self {
         Self(self.0 / parts.max(1) as f64)
     }
 
     fn differs(self, other: Self) -> bool {
-        (self.0 - other.0).abs() > other.0 * TOLD_PART
+        (self.0 - other.0).abs() > other.0 * SIGNIFICANT_CHANGE
     }
 }
 
-/// What became of a limit with something heard.
+/// Effect of a response or report on a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Nothing that others need to know.
+    /// Nothing that must be sent to peers.
     None,
-    /// It holds since now, or its figure changed.
+    /// The limit began, or its rate changed.
     Set(Rate),
-    /// It is over.
+    /// The limit ended.
     Ended,
 }
 
-/// When a request may be sent.
+/// Permission to send a request under a target's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// In so many milliseconds: nobody else is sent then.
+    /// The request may be sent in this many milliseconds; the slot is reserved for it.
     In(Millis),
-    /// Not in time: the next one may be sent in so many milliseconds.
+    /// Not within the time allowed: the next request may be sent in this many milliseconds.
     TooLate(Millis),
-    /// Others send there.
+    /// This process has no share of the limit; other processes send to the target.
     Never,
 }
 
-/// Requests that may be sent: so many a second, and some at once.
+/// A token bucket with a rate and a burst, both in requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bucket {
-    /// Requests a millisecond; 0 if none are this process's to send.
+    /// Requests per millisecond; 0 if this process has no share.
     rate: f64,
-    /// Requests in it, when that was worked out; less than none if some are to be sent later.
+    /// Level in requests at the time `level_at`; negative if requests are reserved for later.
     level: f64,
-    at: Millis,
-    /// The most that may be sent at once, if it is more than follows from the rate.
-    least: f64,
+    level_at: Millis,
+    /// Smallest burst in requests, if the rate gives a lower one.
+    min_burst: f64,
 }
 
 impl Bucket {
-    /// One for a process through which all requests to a target go. What entries send
-    /// evenly comes a little bunched.
+    /// A bucket for a process through which all requests to a target go. It allows a larger burst,
+    /// since requests that entries send evenly arrive slightly bunched.
     pub fn guard() -> Self {
-        Self { least: GUARD, ..Self::default() }
+        Self { min_burst: AGENT_BURST_REQUESTS, ..Self::default() }
     }
 
-    /// Changes what may be sent from now on. What was saved up stays: others who take a part over
-    /// begin with nothing.
+    /// Sets the rate; none if this process has no share. The level stays: a process that takes over
+    /// a share starts with an empty bucket.
     pub fn set(&mut self, now: Millis, part: Option<Rate>) {
         let level = self.level(now);
         self.rate = part.map_or(0.0, |it| it.0 / 1_000.0);
-        self.level = level.min(self.depth());
-        self.at = now;
+        self.level = level.min(self.capacity());
+        self.level_at = now;
     }
 
-    /// The most that may be sent at once.
-    fn depth(&self) -> f64 {
-        (self.rate * 1_000.0 * BURST).max(1.0).max(self.least)
+    /// Capacity of the bucket in requests.
+    fn capacity(&self) -> f64 {
+        (self.rate * 1_000.0 * BURST_SECONDS).max(1.0).max(self.min_burst)
     }
 
     fn level(&self, now: Millis) -> f64 {
-        let gained = now.saturating_sub(self.at) as f64 * self.rate;
-        (self.level + gained).min(self.depth())
+        let gained = now.saturating_sub(self.level_at) as f64 * self.rate;
+        (self.level + gained).min(self.capacity())
     }
 
-    /// In how many milliseconds a request may be sent; none if never.
+    /// Milliseconds until a request may be sent; none if never.
     pub fn next(&self, now: Millis) -> Option<Millis> {
         if self.rate <= 0.0 {
             return None;
         }
-        let lacks = 1.0 - ROUNDING - self.level(now);
-        Some((lacks.max(0.0) / self.rate).ceil() as Millis)
+        let missing = 1.0 - ROUNDING - self.level(now);
+        Some((missing.max(0.0) / self.rate).ceil() as Millis)
     }
 
-    /// Takes a request out. False if there is none.
+    /// Takes one request from the bucket for sending now. Returns false if the bucket is empty.
     pub fn take(&mut self, now: Millis) -> bool {
         matches!(self.reserve(now, 0), Turn::In(_))
     }
 
-    /// Takes a request out that is sent later, if that is within `most` milliseconds.
-    pub fn reserve(&mut self, now: Millis, most: Millis) -> Turn {
+    /// Reserves one request, to be sent within `max_wait` milliseconds.
+    pub fn reserve(&mut self, now: Millis, max_wait: Millis) -> Turn {
         let Some(next) = self.next(now) else { return Turn::Never };
-        if next > most {
+        if next > max_wait {
             return Turn::TooLate(next);
         }
         self.level = self.level(now) - 1.0;
-        self.at = now;
+        self.level_at = now;
         Turn::In(next)
     }
 
-    /// Requests a second that it lets through.
+    /// Rate of the bucket in requests per second.
     pub fn per_second(&self) -> f64 {
         self.rate * 1_000.0
     }
 }
 
-/// A limit in force.
+/// A limit that a target has announced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     rate: Rate,
-    /// When it was first heard of, and when anybody last named it.
+    /// When the limit became known, and when it was last announced or confirmed by a peer.
     since: Millis,
-    named: Millis,
-    /// Answers in a row, to requests sent later, without one.
-    without: u32,
-    /// What another process told that is not believed yet, and when: the limit's end, if none.
-    told: Option<(Millis, Option<Rate>)>,
-    /// The figure that the others know.
-    known: Rate,
-    /// What this process may send.
+    announced_at: Millis,
+    /// Consecutive responses without a limit to requests that were sent after the last
+    /// announcement.
+    responses_without: u32,
+    /// When a peer reported a rate that is not applied yet, and that rate: none for the end of the
+    /// limit.
+    pending: Option<(Millis, Option<Rate>)>,
+    /// Rate that was last sent to peers.
+    last_sent: Rate,
+    /// Bucket for the share of this process.
     pub bucket: Bucket,
 }
 
 impl Limit {
-    /// One that is named for the first time.
+    /// Creates a limit that is announced for the first time.
     pub fn new(now: Millis, rate: Rate) -> Self {
         Self {
             rate,
             since: now,
-            named: now,
-            without: 0,
-            told: None,
-            known: rate,
+            announced_at: now,
+            responses_without: 0,
+            pending: None,
+            last_sent: rate,
             bucket: Bucket::default(),
         }
     }
 
-    /// What the target takes a second from all entries.
+    /// Rate that the target accepts from all entries together.
     pub fn rate(&self) -> Rate {
         self.rate
     }
 
-    /// When it was first heard of.
+    /// When the limit became known.
     pub fn since(&self) -> Millis {
         self.since
     }
 
-    /// Takes an answer to a request sent at `sent`, and the limit that it names, if any.
-    pub fn answered(&mut self, now: Millis, sent: Millis, named: Option<Rate>) -> Change {
-        let later = sent > self.named;
-        let Some(rate) = named else {
-            self.without += u32::from(later);
-            return if self.without >= WITHOUT { Change::Ended } else { Change::None };
+    /// Processes a response to a request sent at `sent`, and the limit that it announces, if any.
+    pub fn answered(&mut self, now: Millis, sent: Millis, announced: Option<Rate>) -> Change {
+        let later = sent > self.announced_at;
+        let Some(rate) = announced else {
+            self.responses_without += u32::from(later);
+            return if self.responses_without >= RESPONSES_WITHOUT_LIMIT {
+                Change::Ended
+            } else {
+                Change::None
+            };
         };
-        self.without = 0;
-        self.told = self.told.filter(|it| it.1.is_some_and(|it| it <= rate));
+        self.responses_without = 0;
+        self.pending = self.pending.filter(|it| it.1.is_some_and(|it| it <= rate));
         if rate > self.rate && !later {
             return Change::None;
         }
-        self.named = now;
+        self.announced_at = now;
         self.change(rate)
     }
 
-    /// Takes what another process told: a lower figure holds at once, anything else after a while.
+    /// Processes the report of a peer: a lower rate applies at once, a higher one or the end of the
+    /// limit only after a delay, by [`Self::apply_pending`].
     pub fn reported_by_peer(&mut self, now: Millis, rate: Option<Rate>) -> Change {
         match rate {
             Some(it) if it <= self.rate => {
-                self.told = None;
-                self.named = now;
-                self.without = 0;
+                self.pending = None;
+                self.announced_at = now;
+                self.responses_without = 0;
                 self.change(it)
             }
             _ => {
-                self.told = Some((now, rate));
+                self.pending = Some((now, rate));
                 Change::None
             }
         }
     }
 
-    /// Takes what the target's agent says, through which all requests go.
+    /// Processes the report of the target's agent, through which all requests go: it applies at
+    /// once.
     pub fn reported_by_agent(&mut self, now: Millis, rate: Option<Rate>) -> Change {
         let Some(rate) = rate else { return Change::Ended };
-        self.named = now;
+        self.announced_at = now;
         self.change(rate)
     }
 
-    /// Believes what was told, if nothing has spoken against it for long enough.
+    /// Applies the pending report of a peer, if no response has contradicted it for long enough.
     pub fn apply_pending(&mut self, now: Millis) -> Change {
-        let Some((_, rate)) = self.told.filter(|it| now >= it.0 + SETTLES) else {
+        let Some((_, rate)) = self.pending.filter(|it| now >= it.0 + PENDING_DELAY) else {
             return Change::None;
         };
-        self.told = None;
+        self.pending = None;
         match rate {
             Some(it) => self.change(it),
             None => Change::Ended,
@@ -243,10 +253,10 @@
 
     fn change(&mut self, rate: Rate) -> Change {
         self.rate = rate;
-        if !rate.differs(self.known) {
+        if !rate.differs(self.last_sent) {
             return Change::None;
         }
-        self.known = rate;
+        self.last_sent = rate;
         Change::Set(rate)
     }
 }
