--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -1,13 +1,13 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What targets said of themselves: that they want to rest, that they leave, and how much
-//! they take from all entries together.
+//! Notices that targets announce about themselves: a requested pause, that they leave, and the rate
+//! limit that they accept from all entries together.
 //!
-//! All of it binds whoever was told, unlike what an entry guesses from failures: no report,
-//! list or reload takes it back, and the latest end of a rest holds. It hangs on a
-//! life of the target, not on its address or its entry in a list, which may lapse and come
-//! back.
+//! Notices are binding, unlike a back-off that an entry derives from failures: no report, instance
+//! list or configuration reload revokes one, and of several pauses the latest end applies. A notice
+//! belongs to one incarnation of a target, not to its address or its line in the instance list,
+//! which may lapse and come back.
 
 use std::collections::HashMap;
 
@@ -15,53 +15,56 @@
 use crate::id::{Life, Millis};
 use crate::limits::{Change, Limit, Rate, Turn};
 
-/// How long a notice is kept of a target that the list names no more. On the users' platform
-/// an entry that lapsed is back within some seconds; one that stays away has ended.
-const LAPSED: Millis = 60_000;
+/// How long a notice is kept for a target that the instance list no longer contains. On the users'
+/// platform a line that has lapsed is back within several seconds; a target that stays away longer
+/// has ended.
+const RETENTION: Millis = 60_000;
 
-/// Targets of which something is kept that the list does not name: three times as many as the
-/// largest fleet has.
-const MOST: usize = 16_384;
+/// Number of targets with notices from which no notice of an unlisted target is kept: three times
+/// the size of the largest fleet.
+const MAX_TARGETS: usize = 16_384;
 
-/// By how much the clocks of two machines may differ: what a target said just before it
-/// started anew is not taken for a word of its next life.
-const SKEW: Millis = 5_000;
+/// Largest difference between the clocks of two machines. A notice sent just before a target
+/// restarted must not be attributed to the next incarnation.
+const MAX_CLOCK_SKEW: Millis = 5_000;
 
-/// What one life of a target said.
+/// Notices of one incarnation of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Notice {
     born: Millis,
-    /// Since when it wants nothing, and until when.
-    since: Millis,
-    until: Millis,
-    /// Since when it wants nothing any more.
-    leaves: Option<Millis>,
-    /// What it takes from all entries together, if it names a limit.
+    /// Start and end of the requested pause.
+    paused_since: Millis,
+    paused_until: Millis,
+    /// When the target announced that it leaves.
+    leaving_since: Option<Millis>,
+    /// Limit that the target announced, if any.
     limit: Option<Limit>,
-    /// Since when the list does not name it.
-    unlisted: Option<Millis>,
+    /// Since when the instance list does not contain the target.
+    unlisted_since: Option<Millis>,
 }
 
 impl Notice {
-    /// Whether it says anything that still holds.
-    fn holds(&self, now: Millis) -> bool {
-        self.leaves.is_some() || now < self.until || self.limit.is_some()
+    /// Whether any notice is still in force.
+    fn is_active(&self, now: Millis) -> bool {
+        self.leaving_since.is_some() || now < self.paused_until || self.limit.is_some()
     }
 
-    /// What of it was said by the life that began at `born`: all that was said well after that.
-    fn said_by(&self, born: Millis) -> Self {
-        let own = |since: Millis| since >= born.saturating_add(SKEW);
-        let (since, until) = if own(self.since) { (self.since, self.until) } else { (0, 0) };
-        let leaves = self.leaves.filter(|it| own(*it));
+    /// The notices that belong to the incarnation started at `born`: those announced after its
+    /// start by more than the clock skew.
+    fn of_incarnation(&self, born: Millis) -> Self {
+        let own = |since: Millis| since >= born.saturating_add(MAX_CLOCK_SKEW);
+        let (paused_since, paused_until) =
+            if own(self.paused_since) { (self.paused_since, self.paused_until) } else { (0, 0) };
+        let leaving_since = self.leaving_since.filter(|it| own(*it));
         let limit = self.limit.filter(|it| own(it.since()));
-        Self { born, since, until, leaves, limit, unlisted: None }
+        Self { born, paused_since, paused_until, leaving_since, limit, unlisted_since: None }
     }
 
-    /// Changes the limit, if there is one.
+    /// Applies `change` to the limit, if there is one, and updates this entry's share.
     fn change(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        life: Life<'_>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
     ) -> Change {
@@ -72,173 +75,180 @@
         if change == Change::Ended {
             self.limit = None;
         } else if changed {
-            self.share(now, it, holders);
+            self.share(now, life, holders);
         }
         change
     }
 
-    /// Works out this entry's part of the limit.
-    fn share(&mut self, now: Millis, it: Life<'_>, holders: &Holders) {
+    /// Updates this entry's share of the limit.
+    fn share(&mut self, now: Millis, life: Life<'_>, holders: &Holders) {
         if let Some(limit) = &mut self.limit {
-            let part = holders.part(it, limit.rate());
+            let part = holders.part(life, limit.rate());
             limit.bucket.set(now, part);
         }
     }
 }
 
-/// What all targets said.
+/// Notices of all targets.
 #[derive(Debug, Default)]
 pub struct Notices {
     notices: HashMap<String, Notice>,
 }
 
 impl Notices {
-    /// Records that a target wants nothing for so long. Whether it rests only since now.
-    pub fn pause(&mut self, now: Millis, it: Life<'_>, asked: Millis) -> bool {
-        let notice = self.open(it);
-        let begins = now >= notice.until;
+    /// Records that a target requests a pause of `duration` milliseconds. Returns whether a new
+    /// pause starts.
+    pub fn pause(&mut self, now: Millis, life: Life<'_>, duration: Millis) -> bool {
+        let notice = self.open(life);
+        let begins = now >= notice.paused_until;
         if begins {
-            notice.since = now;
+            notice.paused_since = now;
         }
-        notice.until = notice.until.max(now.saturating_add(asked));
+        notice.paused_until = notice.paused_until.max(now.saturating_add(duration));
         begins
     }
 
-    /// Records that a target leaves. Whether that is new.
-    pub fn leave(&mut self, now: Millis, it: Life<'_>) -> bool {
-        let leaves = &mut self.open(it).leaves;
-        let begins = leaves.is_none();
-        leaves.get_or_insert(now);
+    /// Records that a target announced that it leaves. Returns whether that is new.
+    pub fn leave(&mut self, now: Millis, life: Life<'_>) -> bool {
+        let leaving_since = &mut self.open(life).leaving_since;
+        let begins = leaving_since.is_none();
+        leaving_since.get_or_insert(now);
         begins
     }
 
-    fn open(&mut self, it: Life<'_>) -> &mut Notice {
-        let fresh = Notice { born: it.born, ..Notice::default() };
-        let notice = self.notices.entry(it.name.to_owned()).or_insert(fresh);
-        if notice.born != it.born {
+    fn open(&mut self, life: Life<'_>) -> &mut Notice {
+        let fresh = Notice { born: life.born, ..Notice::default() };
+        let notice = self.notices.entry(life.name.to_owned()).or_insert(fresh);
+        if notice.born != life.born {
             *notice = fresh;
         }
         notice
     }
 
-    fn get(&self, it: Life<'_>) -> Option<&Notice> {
-        self.notices.get(it.name).filter(|known| known.born == it.born)
+    fn get(&self, life: Life<'_>) -> Option<&Notice> {
+        self.notices.get(life.name).filter(|known| known.born == life.born)
     }
 
-    /// Until when a target rests, if it does.
-    pub fn paused_until(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
-        self.get(it).map(|it| it.until).filter(|until| now < *until)
+    /// End of a target's pause, if it has requested one.
+    pub fn paused_until(&self, now: Millis, life: Life<'_>) -> Option<Millis> {
+        self.get(life).map(|it| it.paused_until).filter(|until| now < *until)
     }
 
-    /// Since when a target rests, if it does.
-    pub fn paused_since(&self, now: Millis, it: Life<'_>) -> Option<Millis> {
-        self.get(it).filter(|it| now < it.until).map(|it| it.since)
+    /// Start of a target's pause, if it has requested one.
+    pub fn paused_since(&self, now: Millis, life: Life<'_>) -> Option<Millis> {
+        self.get(life).filter(|it| now < it.paused_until).map(|it| it.paused_since)
     }
 
-    /// Whether a target leaves.
-    pub fn is_leaving(&self, it: Life<'_>) -> bool {
-        self.leaving_since(it).is_some()
+    /// Whether a target is leaving.
+    pub fn is_leaving(&self, life: Life<'_>) -> bool {
+        self.leaving_since(life).is_some()
     }
 
-    /// Since when a target is known to leave, if it is.
-    pub fn leaving_since(&self, it: Life<'_>) -> Option<Millis> {
-        self.get(it)?.leaves
+    /// Since when a target is known to be leaving, if it is.
+    pub fn leaving_since(&self, life: Life<'_>) -> Option<Millis> {
+        self.get(life)?.leaving_since
     }
 
-    /// When the life began of which anything is kept; 0 if nothing is.
+    /// Start time of the incarnation whose notices are kept; 0 if there are none.
     pub fn born(&self, name: &str) -> Millis {
         self.notices.get(name).map_or(0, |it| it.born)
     }
 
-    /// Records that the list names a target. True if that ends a rest: it is another life.
-    pub fn listed(&mut self, now: Millis, it: Life<'_>) -> bool {
-        let Some(notice) = self.notices.get_mut(it.name) else { return false };
-        notice.unlisted = None;
-        if notice.born == it.born {
+    /// Records that the instance list contains an incarnation of a target. Returns whether that
+    /// ends a pause, since the pause belonged to another incarnation.
+    pub fn listed(&mut self, now: Millis, life: Life<'_>) -> bool {
+        let Some(notice) = self.notices.get_mut(life.name) else { return false };
+        notice.unlisted_since = None;
+        if notice.born == life.born {
             return false;
         }
-        let rested = now < notice.until;
-        // The list may learn late of the life that said it.
-        let own = if notice.born < it.born { notice.said_by(it.born) } else { Notice::default() };
-        let rests = now < own.until;
-        if own.holds(now) {
+        let was_paused = now < notice.paused_until;
+        // The instance list may show a new incarnation late, after its first notices have arrived.
+        let own = if notice.born < life.born {
+            notice.of_incarnation(life.born)
+        } else {
+            Notice::default()
+        };
+        let is_paused = now < own.paused_until;
+        if own.is_active(now) {
             *notice = own;
         } else {
-            self.notices.remove(it.name);
+            self.notices.remove(life.name);
         }
-        rested && !rests
+        was_paused && !is_paused
     }
 
-    /// Records that the list names a target no more.
+    /// Records that the instance list no longer contains a target.
     pub fn unlisted(&mut self, now: Millis, name: &str) {
         if let Some(notice) = self.notices.get_mut(name) {
-            notice.unlisted.get_or_insert(now);
+            notice.unlisted_since.get_or_insert(now);
         }
     }
 
-    /// Forgets rests that are over, and targets that ended.
+    /// Removes pauses that are over, and targets that have ended.
     pub fn sweep(&mut self, now: Millis) {
         self.notices.retain(|_, it| {
-            let lapsed = it.unlisted.is_some_and(|since| now >= since.saturating_add(LAPSED));
-            !lapsed && it.holds(now)
+            let lapsed =
+                it.unlisted_since.is_some_and(|since| now >= since.saturating_add(RETENTION));
+            !lapsed && it.is_active(now)
         });
     }
 
-    /// Takes the limit that an answer names, or that it names none. The request was sent at
-    /// `sent`.
+    /// Processes the limit that a response announces, or that it announces none. The request was
+    /// sent at `sent`.
     pub fn answered(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        life: Life<'_>,
         sent: Millis,
-        named: Option<Rate>,
+        announced: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, it, named, holders, |limit| limit.answered(now, sent, named))
+        self.limit(now, life, announced, holders, |limit| limit.answered(now, sent, announced))
     }
 
-    /// Takes what another process told of a target's limit; none if it is over.
+    /// Processes a peer's report of a target's limit; none if the limit ended.
     pub fn reported_by_peer(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        life: Life<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, it, rate, holders, |limit| limit.reported_by_peer(now, rate))
+        self.limit(now, life, rate, holders, |limit| limit.reported_by_peer(now, rate))
     }
 
-    /// Takes what the agent, through which all requests to a target go, says of its limit.
+    /// Processes the report of the agent through which all requests to a target go.
     pub fn reported_by_agent(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        life: Life<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, it, rate, holders, |limit| limit.reported_by_agent(now, rate))
+        self.limit(now, life, rate, holders, |limit| limit.reported_by_agent(now, rate))
     }
 
     fn limit(
         &mut self,
         now: Millis,
-        it: Life<'_>,
+        life: Life<'_>,
         rate: Option<Rate>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
     ) -> Change {
-        let known = self.get(it).is_some_and(|it| it.limit.is_some());
+        let known = self.get(life).is_some_and(|it| it.limit.is_some());
         let Some(rate) = rate.filter(|_| !known) else {
-            let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born);
-            return notice.map_or(Change::None, |known| known.change(now, it, holders, change));
+            let notice = self.notices.get_mut(life.name).filter(|known| known.born == life.born);
+            return notice.map_or(Change::None, |known| known.change(now, life, holders, change));
         };
         let mut limit = Limit::new(now, rate);
-        limit.bucket.set(now, holders.part(it, rate));
-        self.open(it).limit = Some(limit);
+        limit.bucket.set(now, holders.part(life, rate));
+        self.open(life).limit = Some(limit);
         Change::Set(rate)
     }
 
-    /// Believes what was told of limits, where nothing speaks against it. What changed.
+    /// Applies pending reports of peers that no response has contradicted. Returns the changes.
     pub fn apply_pending(&mut self, now: Millis, holders: &Holders) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, notice) in &mut self.notices {
@@ -251,7 +261,7 @@
         changes
     }
 
-    /// Shares all limits out anew: other entries hold them.
+    /// Updates this entry's share of all limits after the holders have changed.
     pub fn share(&mut self, now: Millis, holders: &Holders) {
         for (name, notice) in &mut self.notices {
             let life = Life { name, born: notice.born };
@@ -259,53 +269,53 @@
         }
     }
 
-    /// The limit that a target names, if it does.
-    pub fn limited(&self, it: Life<'_>) -> Option<&Limit> {
-        self.get(it)?.limit.as_ref()
+    /// Limit that a target announced, if any.
+    pub fn limited(&self, life: Life<'_>) -> Option<&Limit> {
+        self.get(life)?.limit.as_ref()
     }
 
-    /// When this entry may send one more request to a target; none if that names no limit.
-    pub fn next(&self, now: Millis, it: Life<'_>) -> Option<Turn> {
-        let next = self.limited(it)?.bucket.next(now);
+    /// When this entry may send one more request to a target; none if the target has no limit.
+    pub fn next(&self, now: Millis, life: Life<'_>) -> Option<Turn> {
+        let next = self.limited(life)?.bucket.next(now);
         Some(next.map_or(Turn::Never, Turn::In))
     }
 
-    /// Takes a request, to be sent within `most` milliseconds, out of this entry's part of a
-    /// target's limit; none if that names no limit.
-    pub fn reserve(&mut self, now: Millis, it: Life<'_>, most: Millis) -> Option<Turn> {
-        let notice = self.notices.get_mut(it.name).filter(|known| known.born == it.born)?;
-        Some(notice.limit.as_mut()?.bucket.reserve(now, most))
+    /// Reserves one request, to be sent within `max_wait` milliseconds, from this entry's share of
+    /// a target's limit; none if the target has no limit.
+    pub fn reserve(&mut self, now: Millis, life: Life<'_>, max_wait: Millis) -> Option<Turn> {
+        let notice = self.notices.get_mut(life.name).filter(|known| known.born == life.born)?;
+        Some(notice.limit.as_mut()?.bucket.reserve(now, max_wait))
     }
 
-    /// The lives that name a limit.
+    /// Incarnations with a limit.
     pub fn limits(&self) -> impl Iterator<Item = (Life<'_>, &Limit)> {
         self.notices
             .iter()
             .filter_map(|(name, it)| Some((Life { name, born: it.born }, it.limit.as_ref()?)))
     }
 
-    /// The lives that said that they leave.
+    /// Incarnations that announced that they leave.
     pub fn leaving(&self) -> impl Iterator<Item = Life<'_>> {
-        let leaving = self.notices.iter().filter(|it| it.1.leaves.is_some());
+        let leaving = self.notices.iter().filter(|it| it.1.leaving_since.is_some());
         leaving.map(|(name, it)| Life { name, born: it.born })
     }
 
-    /// Targets that rest.
+    /// Number of targets that have requested a pause.
     pub fn paused_count(&self, now: Millis) -> usize {
-        self.notices.values().filter(|it| now < it.until).count()
+        self.notices.values().filter(|it| now < it.paused_until).count()
     }
 
-    /// Targets of which anything is kept.
+    /// Number of targets with notices.
     pub fn len(&self) -> usize {
         self.notices.len()
     }
 
-    /// Whether what is told of a target that the list does not name can be kept.
+    /// Whether there is room for a notice of a target that the instance list does not contain.
     pub fn has_room(&self, name: &str) -> bool {
-        self.notices.len() < MOST || self.notices.contains_key(name)
+        self.notices.len() < MAX_TARGETS || self.notices.contains_key(name)
     }
 
-    /// Whether nothing is kept.
+    /// Whether there are no notices.
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
