--- a/crates/sablepass-core/src/admit.rs
+++ b/crates/sablepass-core/src/admit.rs
@@ -1,28 +1,28 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Admission at an entry: limits, customers' shares and partners' grants.
+//! Admission control of an entry: limits, customers' shares and partners' grants.
 //!
-//! While capacity is free anybody may use it. When it is short, a customer
-//! over its share is refused, the lowest priority first.
+//! While capacity is free, any customer may use it. When capacity is short, work of low priority is
+//! refused first, and customers over their share are refused.
 
 use std::collections::HashMap;
 
 use crate::declaration::Priority;
 use crate::reason::Refusal;
 
-/// Limits of an [`Admission`].
+/// Settings of an [`Admission`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Exchanges an entry holds at once. Default 2,000.
+    /// Maximum number of requests in progress at an entry. Default 2,000.
     pub limit: usize,
-    /// Part of capacity from which bulk work is refused. Default 0.85.
+    /// Load relative to capacity from which bulk work is refused. Default 0.85.
     pub bulk_mark: f64,
-    /// Part of capacity from which customers over their share are refused. Default 0.95.
+    /// Load relative to capacity from which customers over their share are refused. Default 0.95.
     pub share_mark: f64,
-    /// Part of capacity from which all but urgent work is refused. Default 1.5.
+    /// Load relative to capacity from which all but urgent work is refused. Default 1.5.
     pub normal_mark: f64,
-    /// Part of capacity from which all work is refused. Default 2.0.
+    /// Load relative to capacity from which all work is refused. Default 2.0.
     pub urgent_mark: f64,
 }
 
@@ -32,74 +32,75 @@
     }
 }
 
-/// A request that asks for admission.
+/// A request for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
-    /// Qualified customer.
+    /// Qualified name of the customer.
     pub customer: &'a str,
-    /// The customer's partner.
+    /// Partner of the customer.
     pub partner: &'a str,
-    /// Requests the customer may hold.
+    /// Maximum number of concurrent requests of the customer.
     pub streams: u32,
-    /// The customer's part of all customers' shares, 0 to 1.
+    /// The customer's fraction of all customers' shares, 0 to 1.
     pub share: f64,
-    /// Qualified model or service.
+    /// Qualified name of the model or service.
     pub serves: &'a str,
-    /// The partner that owns it.
+    /// Partner that owns the model or service.
     pub owner: &'a str,
-    /// The part that the owner grants to the customer's partner.
+    /// Fraction of the capacity that the owner grants to the customer's partner.
     pub granted: f64,
-    /// Priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Capacity of the model that falls to this entry.
+    /// This entry's part of the model's capacity, in concurrent requests.
     pub capacity: f64,
-    /// Load of the model that falls to this entry, as reported and sent.
+    /// This entry's part of the model's load: what targets reported and what this entry has sent
+    /// since.
     pub load: f64,
 }
 
-/// What an admitted request holds until it ends.
+/// Admission of one request, to be released when the request ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     customer: String,
     serves: String,
-    lent: Option<(String, String)>,
+    grant: Option<(String, String)>,
 }
 
-/// Counts what is admitted.
+/// Decides on admission and counts the admitted requests.
 #[derive(Debug)]
 pub struct Admission {
     options: Options,
     total: usize,
     customers: HashMap<String, u32>,
     shares: HashMap<(String, String), u32>,
-    lent: HashMap<(String, String), u32>,
+    grants: HashMap<(String, String), u32>,
 }
 
 impl Admission {
-    /// Opens an empty admission.
+    /// Creates an admission control without requests.
     pub fn open(options: Options) -> Self {
         Self {
             options,
             total: 0,
             customers: HashMap::new(),
             shares: HashMap::new(),
-            lent: HashMap::new(),
+            grants: HashMap::new(),
         }
     }
 
-    /// Requests admitted now.
+    /// Number of admitted requests in progress.
     pub fn total(&self) -> usize {
         self.total
     }
 
-    /// Admits a request or says why not.
+    /// Admits a request, or returns the reason for the refusal.
     pub fn admit(&mut self, ask: &Ask<'_>) -> Result<Ticket, Refusal> {
         self.check_limits(ask)?;
         self.check_grant(ask)?;
         self.check_load(ask)?;
-        let lent = (ask.partner != ask.owner).then(|| grant_key(ask));
+        let grant = (ask.partner != ask.owner).then(|| grant_key(ask));
         let ticket =
-            Ticket { customer: ask.customer.to_owned(), serves: ask.serves.to_owned(), lent };
+            Ticket { customer: ask.customer.to_owned(), serves: ask.serves.to_owned(), grant };
         self.count(&ticket);
         Ok(ticket)
     }
@@ -122,9 +123,9 @@
         if ask.granted <= 0.0 {
             return Err(Refusal::NotGranted);
         }
-        let held = self.lent.get(&grant_key(ask)).copied().unwrap_or(0);
-        let most = (ask.capacity * ask.granted).max(1.0);
-        if f64::from(held) >= most {
+        let held = self.grants.get(&grant_key(ask)).copied().unwrap_or(0);
+        let max_held = (ask.capacity * ask.granted).max(1.0);
+        if f64::from(held) >= max_held {
             return Err(Refusal::GrantUsed);
         }
         Ok(())
@@ -145,8 +146,8 @@
         }
         let key = (ask.customer.to_owned(), ask.serves.to_owned());
         let held = f64::from(self.shares.get(&key).copied().unwrap_or(0));
-        let fair = (ask.capacity * ask.share).max(1.0);
-        if used >= self.options.share_mark && held >= fair {
+        let fair_share = (ask.capacity * ask.share).max(1.0);
+        if used >= self.options.share_mark && held >= fair_share {
             return Err(Refusal::OverShare);
         }
         Ok(())
@@ -157,18 +158,18 @@
         *self.customers.entry(ticket.customer.clone()).or_default() += 1;
         let key = (ticket.customer.clone(), ticket.serves.clone());
         *self.shares.entry(key).or_default() += 1;
-        if let Some(lent) = &ticket.lent {
-            *self.lent.entry(lent.clone()).or_default() += 1;
+        if let Some(grant) = &ticket.grant {
+            *self.grants.entry(grant.clone()).or_default() += 1;
         }
     }
 
-    /// Gives a ticket back.
+    /// Releases the ticket of a request that ended.
     pub fn release(&mut self, ticket: &Ticket) {
         self.total = self.total.saturating_sub(1);
-        lower(&mut self.customers, &ticket.customer);
-        lower(&mut self.shares, &(ticket.customer.clone(), ticket.serves.clone()));
-        if let Some(lent) = &ticket.lent {
-            lower(&mut self.lent, lent);
+        decrement(&mut self.customers, &ticket.customer);
+        decrement(&mut self.shares, &(ticket.customer.clone(), ticket.serves.clone()));
+        if let Some(grant) = &ticket.grant {
+            decrement(&mut self.grants, grant);
         }
     }
 }
@@ -177,7 +178,7 @@
     (ask.partner.to_owned(), ask.serves.to_owned())
 }
 
-fn lower<K: std::hash::Hash + Eq>(map: &mut HashMap<K, u32>, key: &K) {
+fn decrement<K: std::hash::Hash + Eq>(map: &mut HashMap<K, u32>, key: &K) {
     let Some(count) = map.get_mut(key) else {
         return;
     };
