--- a/crates/sablepass-core/src/balance.rs
+++ b/crates/sablepass-core/src/balance.rs
@@ -1,33 +1,33 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Choosing a target among the candidates of a model.
+//! Load balancing: chooses a target among the candidates of a model.
 
 use rand::seq::index;
 use rand::{Rng, RngExt};
 
 use crate::rendezvous;
 
-/// How to choose.
+/// Load-balancing policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// One after the other. A baseline.
+    /// Each candidate in turn. A baseline for comparison.
     RoundRobin,
-    /// The least loaded of all. A baseline.
+    /// The least loaded of all candidates. A baseline for comparison.
     LeastLoad,
-    /// The less loaded of two random ones.
+    /// The less loaded of two random candidates.
     TwoChoices,
-    /// The least loaded of three random ones, whatever their hall. For ranks in
-    /// lock-step, of which the most loaded one sets the pace.
+    /// The least loaded of three random candidates, in any data hall. For ranks that run in
+    /// lock-step, where the most loaded rank determines the pace.
     Even,
-    /// The owner of the prompt's prefix unless it is over its load bound,
-    /// else the less loaded of two random ones.
+    /// The owner of the prompt's prefix unless it exceeds its load bound; else the less loaded of
+    /// two random candidates.
     #[default]
     Affinity,
 }
 
 impl Policy {
-    /// Reads the setting.
+    /// Parses the policy's name in the configuration.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "round-robin" => Some(Self::RoundRobin),
@@ -40,37 +40,37 @@
     }
 }
 
-/// How much more than the mean load a prefix owner may carry. With 1.25, as
-/// in Mirrokni et al., "Consistent Hashing with Bounded Loads" (2016).
+/// Load of a prefix owner, relative to the mean, up to which it is chosen. The value 1.25 is taken
+/// from Mirrokni et al., "Consistent Hashing with Bounded Loads" (2016).
 pub const LOAD_BOUND: f64 = 1.25;
 
-/// Random ones of which the least loaded is chosen. All entries know the same
-/// reports, up to 200 ms old, and do not know what the others have just sent: with
-/// the least loaded of all, 36 of them before 192 ranks sent to the same few, and
-/// 38% of the requests waited in a queue while places were free. With 2, 3, 4 and 6
-/// it was 2.6%, 2.4%, 2.1% and 3.6%, and with 4 entries before 16 ranks 2.3%, 1.0%,
-/// 0.7% and 1.2%; by the model of `tests/crowd.rs`, with 75% of the places taken.
-const CHOICES: usize = 3;
+/// Number of random candidates of which [`Policy::Even`] chooses the least loaded. All entries know
+/// the same reports, up to 200 ms old, and not what other entries have sent since. If each chose
+/// the least loaded of all, 36 entries before 192 ranks would send to the same few, and 38% of the
+/// requests would queue while other ranks had free slots. With 2, 3, 4 and 6 candidates, 2.6%,
+/// 2.4%, 2.1% and 3.6% do, and with 4 entries before 16 ranks 2.3%, 1.0%, 0.7% and 1.2%, in the
+/// model of `tests/crowd.rs` with 75% of the slots in use.
+const EVEN_CHOICES: usize = 3;
 
-/// A candidate as an entry sees it.
+/// A candidate target, as one entry sees it.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
     /// Qualified target name.
     pub name: &'a str,
-    /// In the entry's own hall.
+    /// Whether the target is in the entry's own data hall.
     pub same_hall: bool,
-    /// Requests it holds at once.
+    /// Number of requests that the target runs at once.
     pub capacity: u32,
-    /// Requests that this entry has there now.
+    /// Requests of this entry that are in flight at the target.
     pub own: u32,
-    /// Requests of others there, by the agent's last report.
+    /// Requests of other entries at the target, by its last report.
     pub others: u32,
-    /// It takes much longer than it should, and others wait for it.
+    /// Whether the target is slower than the other ranks of its group, which wait for it.
     pub slow: bool,
 }
 
 impl Candidate<'_> {
-    /// Load relative to capacity.
+    /// Load relative to capacity; 1 if the target is full.
     pub fn load(&self) -> f64 {
         f64::from(self.own + self.others) / f64::from(self.capacity.max(1))
     }
@@ -80,22 +80,22 @@
     }
 }
 
-/// Chooses by a policy; holds what the policy remembers.
+/// Chooses candidates by a policy and keeps its state.
 #[derive(Debug)]
 pub struct Chooser {
     policy: Policy,
-    turn: usize,
+    rotation: usize,
 }
 
 impl Chooser {
-    /// Opens a chooser.
+    /// Creates a chooser.
     pub fn open(policy: Policy) -> Self {
-        Self { policy, turn: 0 }
+        Self { policy, rotation: 0 }
     }
 
-    /// Index of the chosen candidate. Slow ones are left out while another has
-    /// room. Near ones are preferred until all of them are full; then any hall
-    /// will do.
+    /// Returns the index of the chosen candidate; none if there are no candidates. Slow candidates
+    /// are excluded while another one has room. Candidates in the entry's own data hall are
+    /// preferred until all of them are full. [`Policy::Even`] ignores the data hall.
     pub fn choose(
         &mut self,
         rng: &mut impl Rng,
@@ -105,35 +105,35 @@
         let all = 0..candidates.len();
         let healthy = |it: &usize| !candidates[*it].slow && !candidates[*it].full();
         let pool = all.clone().filter(healthy).collect();
-        let pool = first_of([pool, all.collect()]);
+        let pool = first_non_empty([pool, all.collect()]);
         if self.policy == Policy::Even {
-            return least_of_some(rng, &pool, candidates);
+            return least_loaded_sample(rng, &pool, candidates);
         }
         let free: Vec<usize> = pool.iter().copied().filter(|&it| !candidates[it].full()).collect();
-        let near = free.iter().copied().filter(|&it| candidates[it].same_hall).collect();
-        let open = first_of([near, free, pool]);
-        if open.is_empty() {
+        let same_hall = free.iter().copied().filter(|&it| candidates[it].same_hall).collect();
+        let eligible = first_non_empty([same_hall, free, pool]);
+        if eligible.is_empty() {
             return None;
         }
         let load = |it: usize| candidates[it].load();
         Some(match self.policy {
             Policy::RoundRobin => {
-                self.turn = self.turn.wrapping_add(1);
-                open[self.turn % open.len()]
+                self.rotation = self.rotation.wrapping_add(1);
+                eligible[self.rotation % eligible.len()]
             }
-            Policy::LeastLoad | Policy::Even => least(&open, load),
-            Policy::TwoChoices => two_choices(rng, &open, load),
+            Policy::LeastLoad | Policy::Even => least_loaded(&eligible, load),
+            Policy::TwoChoices => two_choices(rng, &eligible, load),
             Policy::Affinity => {
-                let owner = prefix.and_then(|it| bounded_owner(it, &open, candidates));
-                owner.unwrap_or_else(|| two_choices(rng, &open, load))
+                let owner = prefix.and_then(|it| bounded_owner(it, &eligible, candidates));
+                owner.unwrap_or_else(|| two_choices(rng, &eligible, load))
             }
         })
     }
 }
 
-fn least(open: &[usize], load: impl Fn(usize) -> f64) -> usize {
-    let mut best = open[0];
-    for &it in open {
+fn least_loaded(eligible: &[usize], load: impl Fn(usize) -> f64) -> usize {
+    let mut best = eligible[0];
+    for &it in eligible {
         if load(it) < load(best) {
             best = it;
         }
@@ -141,41 +141,43 @@
     best
 }
 
-/// The first that is not empty; else none.
-fn first_of<const N: usize>(lists: [Vec<usize>; N]) -> Vec<usize> {
+/// The first list that is not empty; an empty one if there is none.
+fn first_non_empty<const N: usize>(lists: [Vec<usize>; N]) -> Vec<usize> {
     lists.into_iter().find(|it| !it.is_empty()).unwrap_or_default()
 }
 
-/// The least loaded of [`CHOICES`] random ones of a pool.
-fn least_of_some(
+/// The least loaded of [`EVEN_CHOICES`] random candidates of a pool.
+fn least_loaded_sample(
     rng: &mut impl Rng,
     pool: &[usize],
     candidates: &[Candidate<'_>],
 ) -> Option<usize> {
-    let drawn = index::sample(rng, pool.len(), CHOICES.min(pool.len()));
+    let drawn = index::sample(rng, pool.len(), EVEN_CHOICES.min(pool.len()));
     let load = |it: &usize| candidates[*it].load();
     drawn.iter().map(|it| pool[it]).min_by(|a, b| load(a).total_cmp(&load(b)))
 }
 
-fn two_choices(rng: &mut impl Rng, open: &[usize], load: impl Fn(usize) -> f64) -> usize {
-    let a = open[rng.random_range(0..open.len())];
-    let b = open[rng.random_range(0..open.len())];
+fn two_choices(rng: &mut impl Rng, eligible: &[usize], load: impl Fn(usize) -> f64) -> usize {
+    let a = eligible[rng.random_range(0..eligible.len())];
+    let b = eligible[rng.random_range(0..eligible.len())];
     if load(b) < load(a) { b } else { a }
 }
 
-/// The owner of the prefix, or the next one by rank that is under the bound.
-fn bounded_owner(prefix: &str, open: &[usize], candidates: &[Candidate<'_>]) -> Option<usize> {
-    let mean = open.iter().map(|&it| candidates[it].load()).sum::<f64>() / open.len() as f64;
-    let ranked = rendezvous::rank(prefix, open.iter().map(|&it| candidates[it].name));
+/// The owner of the prefix or, if it exceeds the load bound, the second by rendezvous rank, if that
+/// one does not.
+fn bounded_owner(prefix: &str, eligible: &[usize], candidates: &[Candidate<'_>]) -> Option<usize> {
+    let mean =
+        eligible.iter().map(|&it| candidates[it].load()).sum::<f64>() / eligible.len() as f64;
+    let ranked = rendezvous::rank(prefix, eligible.iter().map(|&it| candidates[it].name));
     let names = ranked.into_iter().take(2);
-    let slack = 1.0 / f64::from(candidates[open[0]].capacity.max(1));
+    let slack = 1.0 / f64::from(candidates[eligible[0]].capacity.max(1));
     let bound = mean * LOAD_BOUND + slack;
-    let find = |name: &str| open.iter().copied().find(|&it| candidates[it].name == name);
+    let find = |name: &str| eligible.iter().copied().find(|&it| candidates[it].name == name);
     names.filter_map(find).find(|&it| candidates[it].load() <= bound)
 }
 
-/// The targets of a model that an entry keeps connections to: the first
-/// `size` by rendezvous rank, the same on every call.
+/// The targets of a model to which an entry keeps connections: the first `size` by rendezvous rank,
+/// the same on every call.
 pub fn subset<'a>(entry: &str, size: usize, names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut ranked = rendezvous::rank(entry, names);
     ranked.truncate(size);
