--- a/crates/sablepass-core/src/route.rs
+++ b/crates/sablepass-core/src/route.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Routes: which service answers a request, by its host and path.
+//! The route table: finds the service for a request by its host and path.
 //!
-//! A lookup costs one hash a path segment, however many routes a host has.
+//! A lookup costs one hash computation per path segment, however many routes a host has.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,67 +12,68 @@
 
 use crate::id::Millis;
 
-/// What may be done with a request beyond sending it once.
+/// Whether a request may be sent more than once.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// It may run more than once.
+    /// The request may run more than once.
     Safe,
-    /// It runs at most once.
+    /// The request runs at most once.
     #[default]
     Unsafe,
-    /// Its answer is a stream of events, delivered as they come. It runs at
-    /// most once, unless the route allows to resume it.
+    /// The response is a stream of events, delivered as they arrive. The request runs at most once,
+    /// unless the route allows resuming the stream.
     Stream,
 }
 
-/// A service with its part of a route's requests.
+/// A service and its weight in a route.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its weight among the shares of the route.
+    /// Weight of the service among the shares of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: String,
-    /// Host header that it answers to.
+    /// Host header that the route matches.
     pub host: String,
-    /// Beginning of the paths that it answers to; begins and ends with a slash.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// Whether its requests may be sent more than once.
     #[serde(default)]
     pub class: Class,
-    /// Milliseconds that a request may be held. 1 to 3,600,000.
+    /// Request timeout in milliseconds, 1 to 3,600,000.
     pub timeout: Millis,
-    /// Milliseconds within which an answer is in time.
+    /// Latency objective in milliseconds.
     pub objective: Millis,
-    /// Targets that one request may be sent to. 1 to 100.
+    /// Maximum number of targets to which one request is sent, 1 to 100.
     pub attempts: u32,
-    /// Rank of its requests; 0 is the most urgent.
+    /// Priority rank of its requests; 0 is the most urgent.
     #[serde(default)]
     pub rank: u8,
-    /// Takes requests without a key.
+    /// Whether requests without an API key are accepted.
     #[serde(default)]
     pub open: bool,
-    /// A broken stream may be taken up again after the last event that arrived.
+    /// Whether an interrupted stream may be resumed after the last event received.
     #[serde(default)]
     pub resume: bool,
-    /// Milliseconds between two events of a stream beyond which it counts as late.
+    /// Longest interval in milliseconds between two events of a stream; a longer one counts as
+    /// late.
     #[serde(default)]
     pub pause: Option<Millis>,
-    /// The services that answer.
+    /// Services among which the requests are distributed.
     pub shares: Vec<Share>,
 }
 
 impl Route {
-    /// Whether its requests must not run more than once.
+    /// Whether its requests must run at most once.
     pub fn at_most_once(&self) -> bool {
         match self.class {
             Class::Safe => false,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The service for a draw between 0 and 1, by weight. None without weight.
+    /// Chooses a service by weight, for a random `draw` from 0 to 1. None if all weights are 0.
     pub fn pick(&self, draw: f64) -> Option<&str> {
         let total: u64 = self.shares.iter().map(|it| u64::from(it.weight)).sum();
         let mut left = draw * total as f64;
@@ -96,7 +97,7 @@
     }
 }
 
-/// All routes, for lookup.
+/// The route table.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     hosts: HashMap<String, HashMap<String, Rc<Route>>>,
@@ -104,7 +105,7 @@
 }
 
 impl Table {
-    /// Adds a route. False, and nothing changed, if its host and prefix are taken.
+    /// Adds a route. Returns false and changes nothing if its host and prefix are taken.
     pub fn add(&mut self, route: Route) -> bool {
         let prefixes = self.hosts.entry(route.host.to_ascii_lowercase()).or_default();
         if prefixes.contains_key(&route.prefix) {
@@ -131,7 +132,7 @@
         self.count == 0
     }
 
-    /// The route with the longest prefix that begins `path`, which carries no query.
+    /// Finds the route with the longest prefix of `path`, which must not contain a query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let prefixes = match self.hosts.get(host) {
             Some(it) => it,
