--- a/crates/sablepass-core/src/sharers.rs
+++ b/crates/sablepass-core/src/sharers.rs
@@ -1,78 +1,79 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! How many processes share common limits, as one of them counts them.
+//! Counts the processes that share common limits, as one of them sees it.
 //!
-//! Places of a group and the budget of retries belong to all entries together,
-//! and each uses its part. A count that is too low lets all of them together
-//! go over a limit, so it rises at once with whoever sees more; it falls only
-//! when all that is heard says so for a while.
+//! The slots of a group and the retry budget belong to all entries together, and each entry uses
+//! its share. Too low a count lets the entries together exceed a limit, so the count rises as soon
+//! as any source reports more processes; it falls only after all sources have reported fewer for a
+//! while.
 
 use crate::id::Millis;
 
-/// How long all that is heard must say that there are fewer. As long as two
-/// processes take at most to tell each other whom they see.
-const FEWER: Millis = 800;
+/// How long all sources must report fewer processes: at least as long as two processes take to
+/// exchange whom they are connected to.
+const DECREASE_DELAY: Millis = 800;
 
-/// How long one that has just started waits for somebody who can tell.
-const LEARN: Millis = 1_000;
+/// How long a process that has just started waits for a report of the count.
+const INITIAL_WAIT: Millis = 1_000;
 
-/// The count.
+/// Number of processes that share limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Sharers {
     count: usize,
-    /// Since when fewer are seen.
-    fewer: Option<Millis>,
-    /// Until when the count may be far too low, as nobody has told; none if
-    /// nobody will.
+    /// Since when fewer processes are seen than counted.
+    fewer_since: Option<Millis>,
+    /// State of the initial phase, in which the count may be far too low since no process has
+    /// reported one; none after it, or if no report is expected.
     learning: Option<Learning>,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Learning {
-    Begins,
+    Started,
     Until(Millis),
 }
 
 impl Sharers {
-    /// Opens the count of a process that has met nobody. `expects` is whether
-    /// there are others who can tell.
-    pub fn open(expects: bool) -> Self {
-        Self { count: 1, fewer: None, learning: expects.then_some(Learning::Begins) }
+    /// Creates the count of a process that has no connections yet. `expects_reports` is whether
+    /// there are processes that can report the count.
+    pub fn open(expects_reports: bool) -> Self {
+        Self { count: 1, fewer_since: None, learning: expects_reports.then_some(Learning::Started) }
     }
 
-    /// Takes how many this process has met, itself included, and the most that
-    /// somebody else who sees them counted lately, if anybody did.
-    pub fn watch(&mut self, now: Millis, met: usize, told: Option<usize>) {
-        let seen = met.max(told.unwrap_or(0)).max(1);
-        // One that hears nobody is cut off, and the others may go on.
-        let alone = met <= 1 && told.is_none();
+    /// Updates the count. `connected` is the number of processes that this process sees, itself
+    /// included; `reported` is the largest count that another process reported recently, if any
+    /// did.
+    pub fn watch(&mut self, now: Millis, connected: usize, reported: Option<usize>) {
+        let seen = connected.max(reported.unwrap_or(0)).max(1);
+        // A process that receives nothing is cut off, while the others may still be running.
+        let cut_off = connected <= 1 && reported.is_none();
         self.learning = match self.learning {
-            Some(Learning::Begins) => Some(Learning::Until(now + LEARN)),
+            Some(Learning::Started) => Some(Learning::Until(now + INITIAL_WAIT)),
             Some(Learning::Until(it)) if now < it => Some(Learning::Until(it)),
             _ => None,
         };
-        if told.is_some() {
+        if reported.is_some() {
             self.learning = None;
         }
-        if seen >= self.count || alone {
+        if seen >= self.count || cut_off {
             self.count = self.count.max(seen);
-            self.fewer = None;
+            self.fewer_since = None;
             return;
         }
-        let since = *self.fewer.get_or_insert(now);
-        if now >= since + FEWER {
+        let since = *self.fewer_since.get_or_insert(now);
+        if now >= since + DECREASE_DELAY {
             self.count = seen;
-            self.fewer = None;
+            self.fewer_since = None;
         }
     }
 
-    /// How many there are, itself included.
+    /// Number of processes, this one included.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Whether the count is as good as it gets.
+    /// Whether the initial phase is over.
     pub fn is_known(&self) -> bool {
         self.learning.is_none()
     }
