--- a/crates/sablepass-core/src/budget.rs
+++ b/crates/sablepass-core/src/budget.rs
@@ -1,15 +1,15 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Retry budget: retries are a bounded share of first attempts, so that a
-//! failing fleet is not buried under its own retries.
+//! Retry budget: limits retries to a fraction of first attempts, so that retries cannot overload
+//! failing targets.
 
-/// Limits of a [`Budget`].
+/// Settings of a [`Budget`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Retries earned by each first attempt. Default 0.1.
     pub ratio: f64,
-    /// The most that can be saved up. Default 20.
+    /// Maximum number of unused retries. Default 20.
     pub burst: f64,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// A token bucket that is filled by first attempts instead of by time.
+/// A token bucket that is refilled by first attempts instead of by time.
 #[derive(Debug)]
 pub struct Budget {
     options: Options,
@@ -27,13 +27,14 @@
 }
 
 impl Budget {
-    /// Changes the most that can be saved up, as when it is shared with more processes.
+    /// Sets the maximum number of unused retries, as when the number of processes that share it
+    /// changes.
     pub fn set_burst(&mut self, burst: f64) {
         self.options.burst = burst;
         self.tokens = self.tokens.min(burst);
     }
 
-    /// Opens a budget that starts full.
+    /// Creates a full budget.
     pub fn open(options: Options) -> Self {
         Self { tokens: options.burst, options }
     }
@@ -43,7 +44,7 @@
         self.tokens = (self.tokens + self.options.ratio).min(self.options.burst);
     }
 
-    /// Takes one retry, if there is one left.
+    /// Takes one retry. Returns false if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
