--- a/crates/sablepass-core/src/duty.rs
+++ b/crates/sablepass-core/src/duty.rs
@@ -1,19 +1,20 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which processes read the platform's service themselves; the others learn from them.
+//! Selects the processes that read the platform's service themselves; the other processes receive
+//! its data from them.
 
 use crate::id::Millis;
 use crate::rendezvous;
 
-/// Limits of [`is_reader`].
+/// Settings of [`is_reader`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Processes of a hall that watch the platform's service. Default 2.
+    /// Processes per hall that read the platform's service. Default 2.
     pub readers: usize,
-    /// Processes of a hall that may stand in for them. Default 6.
+    /// Processes per hall that may act as substitutes. Default 6.
     pub substitutes: usize,
-    /// How long each further substitute waits for news of the service. Default 3 s.
+    /// Additional time that each further substitute waits for data of the service. Default 3 s.
     pub patience: Millis,
 }
 
@@ -23,12 +24,13 @@
     }
 }
 
-/// Whether a process reads the platform's service itself.
+/// Whether a process reads the platform's service itself. `age` is the time since any process's
+/// read is known to have succeeded.
 ///
-/// The processes of a hall are ranked by rendezvous hash of their names. The
-/// first ones read. Each further one waits longer for word that somebody's
-/// read succeeded before it tries, so an outage costs the service at most
-/// `readers + substitutes` calls a hall and period.
+/// The processes of a hall are ranked by rendezvous hash of their names. The first `readers` of
+/// them read. Each further process waits longer for the report of a successful read before it tries
+/// itself, so during an outage the service gets at most `readers + substitutes` calls per hall and
+/// period.
 pub fn is_reader(options: Options, me: &str, hall: &str, peers: &[&str], age: Millis) -> bool {
     let ranked = rendezvous::rank(hall, peers.iter().copied());
     let rank = ranked.iter().position(|it| *it == me).unwrap_or(ranked.len());
@@ -36,7 +38,7 @@
         return true;
     }
     let place = rank - options.readers;
-    // A process that the instance list does not name yet reads as the last substitute would.
+    // A process that the instance list does not contain yet acts after the last substitute.
     let place = place.min(options.substitutes);
     let listed = rank < ranked.len();
     let allowed = place < options.substitutes || !listed;
