--- a/crates/sablepass-core/tests/routing.rs
+++ b/crates/sablepass-core/tests/routing.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Choosing targets, admission, and the retry budget.
+//! Target selection, admission control and the retry budget.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -17,11 +17,11 @@
 
 fn choose(policy: Policy, prefix: Option<&str>, all: &[Candidate<'_>]) -> usize {
     let mut rng = StdRng::seed_from_u64(1);
-    Chooser::open(policy).choose(&mut rng, prefix, all).expect("one")
+    Chooser::open(policy).choose(&mut rng, prefix, all).expect("a candidate")
 }
 
 #[test]
-fn verify_near_first_then_far() {
+fn verify_same_hall_is_preferred() {
     for policy in [Policy::RoundRobin, Policy::LeastLoad, Policy::TwoChoices, Policy::Affinity] {
         let near = [candidate("a", true, 9), candidate("b", false, 0)];
         assert_eq!(choose(policy, Some("p"), &near), 0, "{policy:?}");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn verify_slow_targets_are_left_out_while_others_have_room() {
+fn verify_slow_targets_are_excluded_while_others_have_room() {
     let policies =
         [Policy::RoundRobin, Policy::LeastLoad, Policy::TwoChoices, Policy::Affinity, Policy::Even];
     for policy in policies {
@@ -56,7 +56,7 @@
     let mut chooser = Chooser::open(Policy::TwoChoices);
     let mut counts = [0; 3];
     for _ in 0..3_000 {
-        counts[chooser.choose(&mut rng, None, &all).expect("one")] += 1;
+        counts[chooser.choose(&mut rng, None, &all).expect("a candidate")] += 1;
     }
     assert!(counts[1] > counts[2] && counts[2] > counts[0], "{counts:?}");
 }
@@ -84,7 +84,7 @@
     let rest: Vec<String> = names.iter().filter(|it| **it != gone).cloned().collect();
     let after = pick(&rest);
     let kept = before.iter().filter(|it| after.contains(it)).count();
-    assert_eq!(kept, 15, "one target gone changes one connection");
+    assert_eq!(kept, 15, "the loss of one target changes one connection");
 }
 
 fn ask(customer: &str) -> Ask<'_> {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn verify_unused_share_is_lent() {
+fn verify_unused_capacity_may_be_used() {
     let mut admission = Admission::open(Options::default());
     for held in 0..15 {
         let load = f64::from(held);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn verify_share_binds_when_short() {
+fn verify_share_is_enforced_when_capacity_is_short() {
     let mut admission = Admission::open(Options::default());
     let short = |customer| Ask { load: 19.5, ..ask(customer) };
     let tickets: Vec<_> = (0..5).filter_map(|_| admission.admit(&short("greedy")).ok()).collect();
