--- a/crates/sablepass-core/tests/crowd.rs
+++ b/crates/sablepass-core/tests/crowd.rs
@@ -1,11 +1,11 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Many entries before many ranks: each chooses by reports that are as old as
-//! the time between two of them, and none knows what the others have just sent.
+//! Simulates many entries that choose among many ranks. Each entry knows the load of a rank only
+//! from its last report, and does not know what the other entries have sent since.
 //!
-//! Ranks run some requests at once and queue the rest. A request that waits in a
-//! rank's queue while another rank has a free place is a choice gone wrong.
+//! A rank runs a fixed number of requests at once and queues the rest. A request that waits in a
+//! rank's queue while another rank has a free slot was sent to the wrong rank.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -15,16 +15,16 @@
 use sablepass_core::balance::{Candidate, Chooser, Policy};
 use sablepass_core::membership::{Members, Report};
 
-struct Crowd {
+struct Simulation {
     entries: usize,
     ranks: usize,
     /// Requests that a rank runs at once.
-    places: u32,
-    /// Requests a second.
+    slots: u32,
+    /// Requests per second.
     rate: f64,
-    /// Milliseconds that a request runs.
-    lasts: f64,
-    /// Milliseconds between two reports of a rank.
+    /// Mean duration of a request in milliseconds.
+    duration: f64,
+    /// Report interval of a rank in milliseconds.
     heartbeat: u64,
     policy: Policy,
 }
@@ -36,14 +36,14 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Counts {
     requests: u32,
-    /// Found all places of their rank taken.
+    /// Requests that found all slots of their rank taken.
     waited: u32,
 }
 
-impl Crowd {
-    fn play(&self, seed: u64) -> Seen {
+impl Simulation {
+    fn run(&self, seed: u64) -> Counts {
         let mut rng = StdRng::seed_from_u64(seed);
         let names: Vec<String> = (0..self.ranks).map(|it| format!("r{it}")).collect();
         let mut tables: Vec<Members> = (0..self.entries).map(|_| Members::open(10_000)).collect();
@@ -52,7 +52,7 @@
         }
         let mut choosers: Vec<Chooser> =
             (0..self.entries).map(|_| Chooser::open(self.policy)).collect();
-        // Entries have unlike demand.
+        // Entries receive different loads.
         let weights: Vec<f64> = (0..self.entries).map(|_| rng.random_range(0.4..1.6)).collect();
         let total: f64 = weights.iter().sum();
         let mut running = vec![0_u32; self.ranks];
@@ -62,7 +62,7 @@
             events
                 .push(Reverse((rng.random_range(0..self.heartbeat * 1_000), Event::Report(rank))));
         }
-        let mut seen = Seen::default();
+        let mut counts = Counts::default();
         let mut now = 0.0;
         while now < 20e6 {
             now += -(1.0 - rng.random_range(0.0..1.0_f64)).ln() * 1e6 / self.rate;
@@ -84,7 +84,7 @@
                         running[rank] -= 1;
                         if let Some(entry) = queues[rank].pop_front() {
                             running[rank] += 1;
-                            let ends = at + (self.lasts * rng.random_range(900.0..1_100.0)) as u64;
+                            let ends = at + (self.duration * rng.random_range(900.0..1_100.0)) as u64;
                             events.push(Reverse((ends, Event::Ends(rank, entry))));
                         }
                     }
@@ -103,35 +103,35 @@
             let candidates: Vec<Candidate<'_>> = names
                 .iter()
                 .map(|name| {
-                    let it = table.get(name).expect("listed");
+                    let it = table.get(name).expect("a listed rank");
                     Candidate {
                         name,
                         same_hall: false,
-                        capacity: self.places,
+                        capacity: self.slots,
                         own: it.own,
                         others: it.others,
                         slow: false,
                     }
                 })
                 .collect();
-            let rank = choosers[entry].choose(&mut rng, None, &candidates).expect("one");
+            let rank = choosers[entry].choose(&mut rng, None, &candidates).expect("a candidate");
             tables[entry].sent(&names[rank]);
-            seen.requests += 1;
-            if running[rank] < self.places {
+            counts.requests += 1;
+            if running[rank] < self.slots {
                 running[rank] += 1;
-                let ends = at + (self.lasts * rng.random_range(900.0..1_100.0)) as u64;
+                let ends = at + (self.duration * rng.random_range(900.0..1_100.0)) as u64;
                 events.push(Reverse((ends, Event::Ends(rank, entry))));
             } else {
-                seen.waited += 1;
+                counts.waited += 1;
                 queues[rank].push_back(entry);
             }
         }
-        seen
+        counts
     }
 }
 
-/// Entries, ranks, places of a rank, requests a second and milliseconds that one
-/// lasts: the users' deployments and a larger one, with 73 to 79% of the places taken.
+/// Entries, ranks, slots of a rank, requests per second and duration of a request in milliseconds:
+/// the users' deployments and a larger one, with 73 to 79% of the slots in use.
 const SHAPES: [(usize, usize, u32, f64, f64); 4] = [
     (3, 12, 10, 34.0, 2_800.0),
     (4, 16, 12, 75.0, 2_000.0),
@@ -140,10 +140,10 @@
 ];
 
 fn waited(shape: (usize, usize, u32, f64, f64), policy: Policy) -> f64 {
-    let (entries, ranks, places, rate, lasts) = shape;
-    let it = Crowd { entries, ranks, places, rate, lasts, heartbeat: 200, policy };
-    let seen: Vec<Seen> = (0..2).map(|seed| it.play(seed)).collect();
-    let sum = |of: fn(&Seen) -> u32| seen.iter().map(of).sum::<u32>();
+    let (entries, ranks, slots, rate, duration) = shape;
+    let simulation = Simulation { entries, ranks, slots, rate, duration, heartbeat: 200, policy };
+    let counts: Vec<Counts> = (0..2).map(|seed| simulation.run(seed)).collect();
+    let sum = |of: fn(&Counts) -> u32| counts.iter().map(of).sum::<u32>();
     f64::from(sum(|it| it.waited)) / f64::from(sum(|it| it.requests))
 }
 
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn verify_the_least_loaded_of_all_is_what_all_choose() {
+fn verify_least_load_policy_herds_on_few_ranks() {
     let part = waited(SHAPES[3], Policy::LeastLoad);
-    assert!(part > 0.3, "the model shows no herd: {part} of the requests waited");
+    assert!(part > 0.3, "the model shows no herding: {part} of the requests waited");
 }
