--- a/crates/sablepass-core/tests/membership.rs
+++ b/crates/sablepass-core/tests/membership.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What an entry believes of its targets.
+//! An entry's view of its targets.
 
 use sablepass_core::id::Incarnation;
 use sablepass_core::membership::{Members, Pace, Report};
@@ -30,12 +30,12 @@
     let mut members = Members::open(1_000);
     members.connected(0, "t", Incarnation(1));
     members.record_heartbeat(0, "t", report(0, false));
-    // Many more requests than the capacity come and go between two reports.
+    // Many more requests than the capacity start and end between two reports.
     for _ in 0..100 {
         members.sent("t");
         members.ended("t");
     }
-    let member = members.usable(10, "t").expect("usable");
+    let member = members.usable(10, "t").expect("a usable target");
     assert_eq!(member.own + member.others, 0);
 }
 
@@ -47,12 +47,12 @@
     members.sent("t");
     members.record_heartbeat(5, "t", report(5, false));
     members.sent("t");
-    let member = members.usable(10, "t").expect("usable");
+    let member = members.usable(10, "t").expect("a usable target");
     assert_eq!((member.own, member.others), (3, 3));
 }
 
 #[test]
-fn verify_leaving_outlives_late_heartbeats() {
+fn verify_leaving_outlasts_late_heartbeats() {
     let mut members = Members::open(1_000);
     members.connected(0, "t", Incarnation(1));
     members.record_heartbeat(1, "t", report(0, true));
@@ -69,7 +69,7 @@
 fn verify_stalled_engine_is_not_chosen() {
     let mut members = Members::open(1_000);
     members.connected(0, "t", Incarnation(1));
-    // The agent lives on and says how long its engine has been silent.
+    // The agent is alive and reports how long its engine has not responded.
     for now in (100..=2_900).step_by(100) {
         members.record_heartbeat(now, "t", Report { engine_age: Some(now), ..report(1, false) });
         assert!(members.usable(now, "t").is_some(), "at {now}");
@@ -77,11 +77,11 @@
     members.record_heartbeat(3_000, "t", Report { engine_age: Some(3_000), ..report(1, false) });
     assert!(members.usable(3_000, "t").is_none());
     members.record_heartbeat(3_100, "t", Report { engine_age: Some(10), ..report(1, false) });
-    assert!(members.usable(3_100, "t").is_some(), "it answers again");
+    assert!(members.usable(3_100, "t").is_some(), "the engine responds again");
 }
 
 #[test]
-fn verify_away_until_its_agent_says_otherwise() {
+fn verify_target_is_away_until_its_agent_reports_otherwise() {
     let mut members = Members::open(1_000);
     members.connected(0, "t", Incarnation(1));
     members.refused_connection("t");
@@ -102,19 +102,19 @@
 }
 
 #[test]
-fn verify_target_that_fails_in_a_row_is_left_alone_longer_and_longer() {
+fn verify_back_off_grows_with_consecutive_failures() {
     let mut members = Members::open(1_000);
     members.listed(0, "t", false);
     assert_eq!((members.record_failure("t"), members.record_failure("t")), (None, None));
     members.record_success("t");
-    assert_eq!((members.record_failure("t"), members.record_failure("t")), (None, None), "counted anew");
-    let rests: Vec<Option<u64>> = (0..6).map(|_| members.record_failure("t")).collect();
-    assert_eq!(rests, [500, 1_000, 2_000, 4_000, 4_000, 4_000].map(Some));
+    assert_eq!((members.record_failure("t"), members.record_failure("t")), (None, None), "the count starts again");
+    let back_offs: Vec<Option<u64>> = (0..6).map(|_| members.record_failure("t")).collect();
+    assert_eq!(back_offs, [500, 1_000, 2_000, 4_000, 4_000, 4_000].map(Some));
     assert_eq!(members.record_failure("unknown"), None);
 }
 
 #[test]
-fn verify_a_machine_that_tells_nothing_counts_as_asleep() {
+fn verify_a_machine_without_heartbeats_is_unresponsive() {
     let mut members = Members::open(3_000);
     for name in ["a", "b", "c", "d"] {
         members.listed(0, name, false);
@@ -125,61 +125,61 @@
     }
     assert!(members.unresponsive(599).is_empty());
     assert_eq!(members.unresponsive(800).into_iter().collect::<Vec<_>>(), ["a"]);
-    // Its agent died, which says nothing of the target.
+    // The agent died, which says nothing about the target.
     members.agent_disconnected("a");
     assert!(members.unresponsive(800).is_empty());
-    // All are silent: this process slept.
+    // No agent sends heartbeats: this process was suspended.
     members.record_heartbeat(801, "a", report(1, false));
     assert!(members.unresponsive(5_000).is_empty());
 }
 
-/// Entries of the pattern and places that fall to each of them.
+/// Number of entries, and slots for each of them.
 const ENTRIES: usize = 16;
-const PLACES: f64 = 24.0;
+const SLOTS: f64 = 24.0;
 
-/// A herd: all entries know the same reports and begin at once. Each counts what it
-/// has sent since in full, since the others send as much; with an equal part of
-/// that, each of them filled the places of all.
+/// All entries know the same reports and start at the same moment. Each must count the requests
+/// that it has sent since in full, because the others send as many: if it counted only an equal
+/// part of them, each entry would fill the slots of all.
 #[test]
-fn verify_a_herd_of_entries_stays_within_the_places_of_all() {
-    let mut begun = 0;
+fn verify_entries_that_start_at_once_stay_within_all_slots() {
+    let mut started = 0;
     for _ in 0..ENTRIES {
         let mut members = Members::open(1_000);
         members.listed(0, "t", false);
         members.record_heartbeat(0, "t", report(0, false));
         let share = |it: &Members| it.get("t").map_or(0.0, |it| it.share(ENTRIES as f64));
-        while share(&members) + 1.0 <= PLACES {
+        while share(&members) + 1.0 <= SLOTS {
             members.sent("t");
-            begun += 1;
+            started += 1;
         }
-        // The report that follows tells of all of them, and the share is the same.
-        members.record_heartbeat(200, "t", report((ENTRIES as f64 * PLACES) as u32, false));
-        assert!((share(&members) - PLACES).abs() < 1e-9);
+        // The next report includes the requests of all entries, and the share stays the same.
+        members.record_heartbeat(200, "t", report((ENTRIES as f64 * SLOTS) as u32, false));
+        assert!((share(&members) - SLOTS).abs() < 1e-9);
         members.ended("t");
-        assert!(share(&members) < PLACES, "what ends makes room at once");
+        assert!(share(&members) < SLOTS, "a request that ends makes room at once");
     }
-    assert!(begun as f64 <= ENTRIES as f64 * PLACES, "{begun}");
+    assert!(started as f64 <= ENTRIES as f64 * SLOTS, "{started}");
 }
 
-/// A rank's process ends. Its group notices after it has stood for a while.
+/// A rank's process ends. Its group notices after it has stalled for a while.
 #[test]
-fn verify_a_group_counts_as_lost_until_it_has_noticed() {
-    const STANDS: u64 = 1_500;
+fn verify_a_group_counts_as_incomplete_until_it_has_noticed() {
+    const STALL: u64 = 1_500;
     let mut members = Members::open(1_000);
     members.listed(0, "t", false);
-    let told = |refuses| Report { refuses, size: 16, group: 7, ..report(0, false) };
-    members.record_heartbeat(0, "t", told(false));
-    assert_eq!(members.lost_rank(0, "t", STANDS), None);
+    let report_refusing = |refuses| Report { refuses, size: 16, group: 7, ..report(0, false) };
+    members.record_heartbeat(0, "t", report_refusing(false));
+    assert_eq!(members.lost_rank(0, "t", STALL), None);
     for now in (100..=1_800).step_by(100) {
-        members.record_heartbeat(now, "t", told(true));
-        assert!(members.usable(now, "t").is_none(), "nothing listens there");
-        assert_eq!(members.lost_rank(now, "t", STANDS), Some(7));
+        members.record_heartbeat(now, "t", report_refusing(true));
+        assert!(members.usable(now, "t").is_none(), "no process listens there");
+        assert_eq!(members.lost_rank(now, "t", STALL), Some(7));
     }
-    members.record_heartbeat(1_900, "t", told(true));
-    assert_eq!(members.lost_rank(1_900, "t", STANDS), None, "its ranks know by now");
-    members.record_heartbeat(2_000, "t", told(false));
-    assert!(members.usable(2_000, "t").is_some(), "its next life listens");
-    // Word of an agent that is silent does not count.
-    members.record_heartbeat(3_000, "t", told(true));
+    members.record_heartbeat(1_900, "t", report_refusing(true));
+    assert_eq!(members.lost_rank(1_900, "t", STALL), None, "its ranks have noticed by now");
+    members.record_heartbeat(2_000, "t", report_refusing(false));
+    assert!(members.usable(2_000, "t").is_some(), "its next incarnation listens");
+    // The report of an agent that has become silent does not count.
+    members.record_heartbeat(3_000, "t", report_refusing(true));
     assert!(members.usable(4_000, "t").is_some());
 }
