--- a/crates/sablepass-core/tests/notices.rs
+++ b/crates/sablepass-core/tests/notices.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What targets said of themselves binds until its end, whatever else is heard.
+//! Notices of targets bind until they end, whatever other messages arrive.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sablepass_core::holders::Holders;
@@ -12,124 +12,125 @@
 const FIRST: Life<'static> = Life { name: "i-1", born: 100 };
 const NEXT: Life<'static> = Life { name: "i-1", born: 200 };
 
-/// What an entry hears of one life of a target, and how much later than the step before.
+/// An event about one incarnation of a target.
 #[derive(Clone, Debug)]
-enum Step {
-    /// An answer asks for a rest of so long.
-    Rest(u64),
-    /// The list names it no more, for less than a lapse may last.
+enum Event {
+    /// A response requests a pause of this duration.
+    Pause(u64),
+    /// The instance list no longer contains the target, for less time than a line may lapse.
     Unlisted,
-    /// The list names it.
+    /// The instance list contains the target.
     Listed,
-    /// What is over is forgotten.
+    /// Notices that are over are removed.
     Sweep,
 }
 
-impl Arbitrary for Step {
+impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 5 {
             0 => Self::Unlisted,
             1 => Self::Listed,
             2 => Self::Sweep,
-            _ => Self::Rest(u64::from(u16::arbitrary(g) % 9_000)),
+            _ => Self::Pause(u64::from(u16::arbitrary(g) % 9_000)),
         }
     }
 }
 
 quickcheck! {
-    /// The latest end holds, in whatever order and among whatever else it is told.
-    fn verify_the_latest_end_holds(steps: Vec<(Step, u16)>) -> bool {
+    /// Of several pauses the latest end applies, whatever the order of events.
+    fn verify_the_latest_pause_end_applies(events: Vec<(Event, u16)>) -> bool {
         let mut notices = Notices::default();
         let (mut now, mut until) = (1_000, 0);
-        steps.iter().all(|(step, later)| {
+        events.iter().all(|(event, later)| {
             now += u64::from(*later % 500);
-            match step {
-                Step::Rest(asked) => {
-                    notices.pause(now, FIRST, *asked);
-                    until = until.max(now + asked);
+            match event {
+                Event::Pause(duration) => {
+                    notices.pause(now, FIRST, *duration);
+                    until = until.max(now + duration);
                 }
-                Step::Unlisted => notices.unlisted(now, FIRST.name),
-                Step::Listed => assert!(!notices.listed(now, FIRST)),
-                Step::Sweep => notices.sweep(now),
+                Event::Unlisted => notices.unlisted(now, FIRST.name),
+                Event::Listed => assert!(!notices.listed(now, FIRST)),
+                Event::Sweep => notices.sweep(now),
             }
-            // No lapse of these lasts a minute.
-            if matches!(step, Step::Unlisted) {
+            // The target is listed again before its notices expire after a minute.
+            if matches!(event, Event::Unlisted) {
                 notices.listed(now, FIRST);
             }
             notices.paused_until(now, FIRST) == Some(until).filter(|it| now < *it)
         })
     }
 
-    /// However long it is, and without overflow.
-    fn verify_any_rest_is_honoured(now: u32, asked: u64) -> bool {
+    /// Pauses of any duration are observed, without overflow.
+    fn verify_any_pause_is_observed(now: u32, duration: u64) -> bool {
         let now = u64::from(now);
         let mut notices = Notices::default();
-        notices.pause(now, FIRST, asked);
-        notices.paused_until(now, FIRST).is_some() == (asked > 0)
+        notices.pause(now, FIRST, duration);
+        notices.paused_until(now, FIRST).is_some() == (duration > 0)
     }
 }
 
 #[test]
-fn verify_only_a_new_life_ends_a_rest() {
+fn verify_only_a_new_incarnation_ends_a_pause() {
     let mut notices = Notices::default();
-    assert!(notices.pause(1_000, FIRST, u64::MAX), "it begins");
-    assert!(!notices.pause(2_000, FIRST, 5), "it goes on");
+    assert!(notices.pause(1_000, FIRST, u64::MAX), "the pause begins");
+    assert!(!notices.pause(2_000, FIRST, 5), "the pause continues");
     notices.sweep(1_000_000_000_000);
     assert!(notices.paused_until(1_000_000_000_000, FIRST).is_some());
-    assert!(!notices.listed(3_000, FIRST), "it is the same life");
-    assert!(notices.listed(3_000, NEXT), "the next one ends it");
+    assert!(!notices.listed(3_000, FIRST), "the incarnation is the same");
+    assert!(notices.listed(3_000, NEXT), "the next incarnation ends the pause");
     assert_eq!(notices.paused_until(3_000, NEXT), None);
     assert!(notices.is_empty());
 }
 
 #[test]
-fn verify_leaving_is_for_good_in_one_life() {
+fn verify_leaving_is_final_for_an_incarnation() {
     let mut notices = Notices::default();
-    assert!(notices.leave(1, FIRST), "it is new");
-    assert!(!notices.leave(2, FIRST), "it was known");
+    assert!(notices.leave(1, FIRST), "the notice is new");
+    assert!(!notices.leave(2, FIRST), "the notice was known");
     notices.pause(1_000, FIRST, 1);
     notices.listed(1_000, FIRST);
     notices.sweep(900_000);
-    assert!(notices.is_leaving(FIRST), "neither time nor a list takes it back");
+    assert!(notices.is_leaving(FIRST), "neither time nor the instance list revokes it");
     assert!(!notices.is_leaving(NEXT));
     notices.listed(900_000, NEXT);
     assert!(notices.is_empty());
 }
 
-/// The list may name a life long after it began: what a target said meanwhile, this life said.
+/// The instance list may show an incarnation long after its start: notices received meanwhile
+/// belong to that incarnation.
 #[test]
-fn verify_a_word_outlasts_a_list_that_learns_late_of_its_life() {
-    for (said, leaves) in [(60_000, true), (NEXT.born + 1_000, false), (NEXT.born - 50, false)] {
+fn verify_leaving_belongs_to_an_incarnation_that_is_listed_late() {
+    for (announced, leaves) in [(60_000, true), (NEXT.born + 1_000, false), (NEXT.born - 50, false)] {
         let mut notices = Notices::default();
-        notices.leave(said, FIRST);
-        notices.listed(said + 10, NEXT);
-        assert_eq!(notices.is_leaving(NEXT), leaves, "said at {said}");
-        notices.listed(said + 20, FIRST);
-        assert!(!notices.is_leaving(FIRST), "a life that is over");
+        notices.leave(announced, FIRST);
+        notices.listed(announced + 10, NEXT);
+        assert_eq!(notices.is_leaving(NEXT), leaves, "announced at {announced}");
+        notices.listed(announced + 20, FIRST);
+        assert!(!notices.is_leaving(FIRST), "that incarnation has ended");
     }
 }
 
-/// What it wants of entries besides is judged word by word.
+/// A pause and a limit are attributed to an incarnation independently of each other.
 #[test]
-fn verify_each_word_outlasts_a_list_that_learns_late_of_its_life() {
+fn verify_pause_and_limit_belong_to_an_incarnation_that_is_listed_late() {
     let holders = Holders::open("entry-1");
-    let rate = Rate::new(2.0).expect("a rate");
+    let rate = Rate::new(2.0).expect("a valid rate");
     let (early, late) = (NEXT.born + 10, 60_000);
-    for (rests, limited) in [(early, late), (late, early), (late, late), (early, early)] {
+    for (paused, limited) in [(early, late), (late, early), (late, late), (early, early)] {
         let mut notices = Notices::default();
-        notices.pause(rests, FIRST, 200_000);
+        notices.pause(paused, FIRST, 200_000);
         notices.reported_by_peer(limited, FIRST, Some(rate), &holders);
         let ends = notices.listed(late + 10, NEXT);
-        let case = format!("rest at {rests}, limit at {limited}");
-        assert_eq!(notices.paused_until(late + 10, NEXT).is_some(), rests == late, "{case}");
+        let case = format!("pause at {paused}, limit at {limited}");
+        assert_eq!(notices.paused_until(late + 10, NEXT).is_some(), paused == late, "{case}");
         assert_eq!(notices.limited(NEXT).is_some(), limited == late, "{case}");
-        assert_eq!(ends, rests == early, "{case}");
+        assert_eq!(ends, paused == early, "{case}");
     }
 }
 
-/// A fleet that is replaced time and again leaves nothing behind.
+/// Notices must not accumulate when a fleet is replaced repeatedly.
 #[test]
-fn verify_what_is_listed_no_more_is_forgotten() {
+fn verify_notices_of_unlisted_targets_are_removed() {
     let mut notices = Notices::default();
     for round in 0..10 {
         let now = round * 120_000;
@@ -143,6 +144,6 @@
             notices.unlisted(now + 1, name);
         }
         notices.sweep(now + 2_000);
-        assert_eq!(notices.len(), names.len(), "entries of live ones may lapse and come back");
+        assert_eq!(notices.len(), names.len(), "lines of live targets may lapse and come back");
     }
 }
