--- a/crates/sablepass-agent/src/notices.rs
+++ b/crates/sablepass-agent/src/notices.rs
@@ -25,7 +25,7 @@
 
 impl Default for Notices {
     fn default() -> Self {
-        Self { rests: 0, limit: None, bucket: Bucket::guard() }
+        Self { rests: 0, limit: None, bucket: Bucket::for_agent() }
     }
 }
 
--- a/crates/sablepass-core/src/limits.rs
+++ b/crates/sablepass-core/src/limits.rs
@@ -97,7 +97,7 @@
 impl Bucket {
     /// A bucket for a process through which all requests to a target go. It allows a larger burst,
     /// since requests that entries send evenly arrive slightly bunched.
-    pub fn guard() -> Self {
+    pub fn for_agent() -> Self {
         Self { min_burst: AGENT_BURST_REQUESTS, ..Self::default() }
     }
 
