--- a/crates/sablepass-core/src/suspects.rs
+++ b/crates/sablepass-core/src/suspects.rs
@@ -227,7 +227,7 @@
 
     /// Records that a request completed at this entry. Returns whether the request had been
     /// suspected and is cleared now.
-    pub fn ran(&mut self, now: Millis, fingerprint: Fingerprint) -> bool {
+    pub fn record_completed(&mut self, now: Millis, fingerprint: Fingerprint) -> bool {
         if self.completed.insert(fingerprint) {
             self.completed_order.push_back(fingerprint);
         }
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -149,14 +149,14 @@
 #[test]
 fn verify_a_recently_completed_request_is_not_suspected() {
     let mut suspects = Suspects::default();
-    assert!(!suspects.ran(500, FINGERPRINT));
+    assert!(!suspects.record_completed(500, FINGERPRINT));
     assert_eq!(record(&mut suspects, death("a", 1_000, 2_000)), Change::Cleared);
     assert_eq!(record(&mut suspects, death("b", 2_001, 2_002)), Change::Nothing);
     assert_eq!(suspects.standing(2_002, FINGERPRINT), Standing::Clear);
     for other in 0..5_000 {
-        suspects.ran(3_000, Fingerprint(100 + other));
+        suspects.record_completed(3_000, Fingerprint(100 + other));
     }
-    assert!(!suspects.ran(3_000, Fingerprint(100)), "only the most recent are remembered");
+    assert!(!suspects.record_completed(3_000, Fingerprint(100)), "only the most recent are remembered");
 }
 
 /// Repeated losses of thousands of requests at once must not unblock a blocked request.
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -324,7 +324,7 @@
     /// Records that a target ran a request to its end.
     pub(crate) fn ran_whole(&mut self, id: RequestId) {
         let Some(it) = self.open.get(&id).map(crate::open::Open::fingerprint) else { return };
-        if self.watch.suspects.ran(clock::now(), it) {
+        if self.watch.suspects.record_completed(clock::now(), it) {
             self.tell_sound(it);
         }
     }
