--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -262,7 +262,7 @@
     }
 
     /// Updates this entry's share of all limits after the holders have changed.
-    pub fn share(&mut self, now: Millis, holders: &Holders) {
+    pub fn update_shares(&mut self, now: Millis, holders: &Holders) {
         for (name, notice) in &mut self.notices {
             let life = Life { name, born: notice.born };
             notice.share(now, life, holders);
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -17,14 +17,14 @@
     pub(super) fn watch_holders(&mut self, now: Millis) {
         let count = self.sharers.is_known().then(|| self.sharers.count());
         if self.holders.watch(now, count) {
-            self.notices.share(now, &self.holders);
+            self.notices.update_shares(now, &self.holders);
         }
     }
 
     /// Records that this process did not run for a while.
     pub fn slept(&mut self, now: Millis) {
         self.holders.resumed(now);
-        self.notices.share(now, &self.holders);
+        self.notices.update_shares(now, &self.holders);
     }
 
     /// Takes the limit that an answer names, or that it names none, to a request sent at `sent`.
