--- a/crates/sablepass-core/src/holders.rs
+++ b/crates/sablepass-core/src/holders.rs
@@ -90,7 +90,7 @@
     }
 
     /// This entry's share of a limit; none if it is not a holder.
-    pub fn part(&self, life: Life<'_>, limit: Rate) -> Option<Rate> {
+    pub fn share(&self, life: Life<'_>, limit: Rate) -> Option<Rate> {
         if !self.active {
             return None;
         }
--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -83,7 +83,7 @@
     /// Updates this entry's share of the limit.
     fn share(&mut self, now: Millis, life: Life<'_>, holders: &Holders) {
         if let Some(limit) = &mut self.limit {
-            let part = holders.part(life, limit.rate());
+            let part = holders.share(life, limit.rate());
             limit.bucket.set(now, part);
         }
     }
@@ -243,7 +243,7 @@
             return notice.map_or(Change::None, |known| known.change(now, life, holders, change));
         };
         let mut limit = Limit::new(now, rate);
-        limit.bucket.set(now, holders.part(life, rate));
+        limit.bucket.set(now, holders.share(life, rate));
         self.open(life).limit = Some(limit);
         Change::Set(rate)
     }
--- a/crates/sablepass-core/tests/holders.rs
+++ b/crates/sablepass-core/tests/holders.rs
@@ -82,7 +82,7 @@
         self.holders.set_peers(names);
         let count = self.sharers.is_known().then(|| self.sharers.count());
         if self.holders.watch(now, count) || resumed {
-            self.bucket.set(now, self.holders.part(LIFE, limit));
+            self.bucket.set(now, self.holders.share(LIFE, limit));
         }
     }
 }
--- a/crates/sablepass-core/tests/sharing.rs
+++ b/crates/sablepass-core/tests/sharing.rs
@@ -81,7 +81,7 @@
 fn buckets(scheme: Scheme, entries: usize, limit: f64) -> Vec<Bucket> {
     let part = |entry: usize| match scheme {
         Scheme::Even => Some(rate(limit / entries as f64)),
-        Scheme::Held | Scheme::Asked => steady_state(entry, entries).part(LIFE, rate(limit)),
+        Scheme::Held | Scheme::Asked => steady_state(entry, entries).share(LIFE, rate(limit)),
     };
     let bucket = |entry| {
         let mut bucket = Bucket::default();
