--- a/crates/sablepass-core/src/membership.rs
+++ b/crates/sablepass-core/src/membership.rs
@@ -397,9 +397,8 @@
 
     /// Largest number of connected entries that an agent reported recently; none without a report.
     pub fn entries(&self, now: Millis) -> Option<usize> {
-        let fresh = |it: &&Member| {
-            it.reported && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY
-        };
+        let fresh =
+            |it: &&Member| it.reported && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY;
         let reported = self.members.values().filter(fresh).map(|it| it.report.entries);
         reported.max().filter(|it| *it > 0).map(|it| it as usize)
     }
--- a/crates/sablepass-core/src/suspects.rs
+++ b/crates/sablepass-core/src/suspects.rs
@@ -277,10 +277,8 @@
             return;
         }
         let blocked = |seen: &Observations| matches!(seen.standing(now), Standing::Blocked(_));
-        let victim = self
-            .seen
-            .iter()
-            .min_by_key(|(key, seen)| (blocked(seen), seen.last_observed(), **key));
+        let victim =
+            self.seen.iter().min_by_key(|(key, seen)| (blocked(seen), seen.last_observed(), **key));
         if let Some(victim) = victim.map(|it| *it.0) {
             self.seen.remove(&victim);
             self.evicted += 1;
--- a/crates/sablepass-core/tests/crowd.rs
+++ b/crates/sablepass-core/tests/crowd.rs
@@ -84,7 +84,8 @@
                         running[rank] -= 1;
                         if let Some(entry) = queues[rank].pop_front() {
                             running[rank] += 1;
-                            let ends = at + (self.duration * rng.random_range(900.0..1_100.0)) as u64;
+                            let ends =
+                                at + (self.duration * rng.random_range(900.0..1_100.0)) as u64;
                             events.push(Reverse((ends, Event::Ends(rank, entry))));
                         }
                     }
--- a/crates/sablepass-core/tests/holders.rs
+++ b/crates/sablepass-core/tests/holders.rs
@@ -121,7 +121,8 @@
             Change::Start => {
                 for it in 0..self.entries.len() {
                     if !self.entries[it].alive {
-                        self.entries[it] = Entry::open(it, self.entries.len(), now % UPDATE_INTERVAL);
+                        self.entries[it] =
+                            Entry::open(it, self.entries.len(), now % UPDATE_INTERVAL);
                     }
                 }
             }
@@ -147,7 +148,9 @@
             let reported = self.received.iter().filter(|at| now < **at + SILENCE).count();
             let entry = &mut self.entries[it];
             // An entry that resumes updates its view before anything else.
-            if (now + entry.phase).is_multiple_of(UPDATE_INTERVAL) || now > entry.updated + 2 * UPDATE_INTERVAL {
+            if (now + entry.phase).is_multiple_of(UPDATE_INTERVAL)
+                || now > entry.updated + 2 * UPDATE_INTERVAL
+            {
                 entry.update_view(now, self.limit, reported);
             }
             if entry.bucket.take(now) {
@@ -198,7 +201,11 @@
         fleet.step(now);
     }
     let allowed = limit * WINDOW as f64 / 1_000.0;
-    (fleet.max_in_window() as f64 - allowed, fleet.sent.len() as f64, limit * settled as f64 / 1_000.0)
+    (
+        fleet.max_in_window() as f64 - allowed,
+        fleet.sent.len() as f64,
+        limit * settled as f64 / 1_000.0,
+    )
 }
 
 /// Entries that use the same share exceed the limit. Allowed are the common burst and as much again
--- a/crates/sablepass-core/tests/limit.rs
+++ b/crates/sablepass-core/tests/limit.rs
@@ -110,7 +110,8 @@
         let change = notices.answered(at, FIRST, at - 10, announced, &holders);
         assert_eq!(change, Change::None, "a target may omit it from two responses in a row");
     }
-    let changes = [3_500, 3_600, 3_700].map(|at| notices.answered(at, FIRST, at - 10, None, &holders));
+    let changes =
+        [3_500, 3_600, 3_700].map(|at| notices.answered(at, FIRST, at - 10, None, &holders));
     assert_eq!(changes, [Change::None, Change::None, Change::Ended]);
     assert_eq!(notices.next(3_700, FIRST), None);
 }
@@ -168,7 +169,12 @@
     for number in 0..1_000_000 {
         let name = format!("i-{number}");
         if notices.has_room(&name) {
-            notices.reported_by_peer(3_000, Life { name: &name, born: 0 }, Some(rate(1.0)), &holders);
+            notices.reported_by_peer(
+                3_000,
+                Life { name: &name, born: 0 },
+                Some(rate(1.0)),
+                &holders,
+            );
             notices.unlisted(3_000, &name);
         }
     }
@@ -202,7 +208,8 @@
 fn verify_reserved_requests_are_spaced() {
     let (holders, mut notices) = (single_entry(), Notices::default());
     notices.answered(3_000, FIRST, 0, Some(rate(2.0)), &holders);
-    let reserved: Vec<Option<Turn>> = (0..4).map(|_| notices.reserve(3_000, FIRST, 1_700)).collect();
+    let reserved: Vec<Option<Turn>> =
+        (0..4).map(|_| notices.reserve(3_000, FIRST, 1_700)).collect();
     let expected = [Turn::In(500), Turn::In(1_000), Turn::In(1_500), Turn::TooLate(2_000)];
     assert_eq!(reserved, expected.map(Some).to_vec());
 }
--- a/crates/sablepass-core/tests/membership.rs
+++ b/crates/sablepass-core/tests/membership.rs
@@ -107,7 +107,11 @@
     members.listed(0, "t", false);
     assert_eq!((members.record_failure("t"), members.record_failure("t")), (None, None));
     members.record_success("t");
-    assert_eq!((members.record_failure("t"), members.record_failure("t")), (None, None), "the count starts again");
+    assert_eq!(
+        (members.record_failure("t"), members.record_failure("t")),
+        (None, None),
+        "the count starts again"
+    );
     let back_offs: Vec<Option<u64>> = (0..6).map(|_| members.record_failure("t")).collect();
     assert_eq!(back_offs, [500, 1_000, 2_000, 4_000, 4_000, 4_000].map(Some));
     assert_eq!(members.record_failure("unknown"), None);
--- a/crates/sablepass-core/tests/notices.rs
+++ b/crates/sablepass-core/tests/notices.rs
@@ -100,7 +100,8 @@
 /// belong to that incarnation.
 #[test]
 fn verify_leaving_belongs_to_an_incarnation_that_is_listed_late() {
-    for (announced, leaves) in [(60_000, true), (NEXT.born + 1_000, false), (NEXT.born - 50, false)] {
+    for (announced, leaves) in [(60_000, true), (NEXT.born + 1_000, false), (NEXT.born - 50, false)]
+    {
         let mut notices = Notices::default();
         notices.leave(announced, FIRST);
         notices.listed(announced + 10, NEXT);
--- a/crates/sablepass-core/tests/sharers.rs
+++ b/crates/sablepass-core/tests/sharers.rs
@@ -30,7 +30,11 @@
     sharers.watch(0, 16, Some(16));
     for now in (25..=775).step_by(25) {
         sharers.watch(now, 4, Some(8));
-        assert_eq!(sharers.count(), 16, "at {now}: the reporting process may not be connected to all");
+        assert_eq!(
+            sharers.count(),
+            16,
+            "at {now}: the reporting process may not be connected to all"
+        );
     }
     sharers.watch(1_000, 4, Some(8));
     assert_eq!(sharers.count(), 8);
--- a/crates/sablepass-core/tests/sharing.rs
+++ b/crates/sablepass-core/tests/sharing.rs
@@ -144,8 +144,8 @@
     for entries in [1, 2, 5, 36, 100] {
         for limit in [0.1, 0.2, 1.0, 4.0, 20.0, 100.0] {
             for traffic in [Traffic::Even, Traffic::Skewed, Traffic::One] {
-                let [even, held, asked] =
-                    [Scheme::Even, Scheme::Held, Scheme::Asked].map(|it| simulate(it, entries, limit, traffic));
+                let [even, held, asked] = [Scheme::Even, Scheme::Held, Scheme::Asked]
+                    .map(|it| simulate(it, entries, limit, traffic));
                 println!(
                     "{entries} | {limit} | {traffic:?} | {:.1} {:.1} {:.1} | {:.2} {:.2} {:.2} | {:.1}",
                     even.over,
--- a/crates/sablepass-core/tests/suspects.rs
+++ b/crates/sablepass-core/tests/suspects.rs
@@ -4,13 +4,13 @@
 //! Requests that are blocked as suspects because targets end while running them.
 
 use quickcheck::{TestResult, quickcheck};
-use sablepass_core::deaths::{Interrupted, Deaths};
+use sablepass_core::deaths::{Deaths, Interrupted};
 use sablepass_core::fingerprint::Fingerprint;
 use sablepass_core::flight::{Action, Event, Flight, Options, Request};
 use sablepass_core::id::{Incarnation, Millis, RequestId};
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
-use sablepass_core::suspects::{Change, Death, BLOCK_DURATION, Standing, Suspects, Trial};
+use sablepass_core::suspects::{BLOCK_DURATION, Change, Death, Standing, Suspects, Trial};
 
 const FINGERPRINT: Fingerprint = Fingerprint(7);
 
@@ -63,16 +63,28 @@
 fn verify_no_entry_tries_after_two_concurrent_deaths() {
     let mut suspects = Suspects::default();
     record(&mut suspects, death("a", 1_000, 1_200));
-    assert_eq!(suspects.paused_until(1_300, FINGERPRINT, OTHER), None, "it is one of a dozen requests that the target ran");
+    assert_eq!(
+        suspects.paused_until(1_300, FINGERPRINT, OTHER),
+        None,
+        "it is one of a dozen requests that the target ran"
+    );
     record(&mut suspects, death("b", 1_001, 1_201));
     assert_eq!(suspects.standing(1_300, FINGERPRINT), Standing::Suspect);
     for trial in [OWNER, OTHER] {
         assert_eq!(suspects.paused_until(1_300, FINGERPRINT, trial), Some(31_201));
     }
-    assert_eq!(suspects.paused_until(31_201, FINGERPRINT, OWNER), None, "the request may not be the cause");
+    assert_eq!(
+        suspects.paused_until(31_201, FINGERPRINT, OWNER),
+        None,
+        "the request may not be the cause"
+    );
     assert!(suspects.clear(1_400, FINGERPRINT));
     for trial in [OWNER, OTHER] {
-        assert_eq!(suspects.paused_until(1_400, FINGERPRINT, trial), None, "it completed elsewhere");
+        assert_eq!(
+            suspects.paused_until(1_400, FINGERPRINT, trial),
+            None,
+            "it completed elsewhere"
+        );
     }
 }
 
@@ -88,7 +100,11 @@
     let busy = Trial { busy: true, ..OWNER };
     assert!(suspects.paused_until(31_201, FINGERPRINT, busy).is_some_and(|until| until > 31_201));
     assert_eq!(suspects.paused_until(blocked_until, FINGERPRINT, OWNER), None);
-    assert!(suspects.paused_until(blocked_until, FINGERPRINT, OTHER).is_some_and(|until| until > blocked_until));
+    assert!(
+        suspects
+            .paused_until(blocked_until, FINGERPRINT, OTHER)
+            .is_some_and(|until| until > blocked_until)
+    );
     // The death during the trial proves it.
     assert_eq!(record(&mut suspects, death("c", 31_300, 31_400)), Change::Blocked);
 }
@@ -130,7 +146,10 @@
     let over = 4_000 + BLOCK_DURATION;
     assert_eq!(suspects.standing(over, FINGERPRINT), Standing::Suspect);
     assert_eq!(record(&mut suspects, death("c", over, over + 50)), Change::Blocked);
-    assert_eq!(suspects.standing(over + 51, FINGERPRINT), Standing::Blocked(over + 50 + BLOCK_DURATION));
+    assert_eq!(
+        suspects.standing(over + 51, FINGERPRINT),
+        Standing::Blocked(over + 50 + BLOCK_DURATION)
+    );
 }
 
 #[test]
@@ -156,7 +175,10 @@
     for other in 0..5_000 {
         suspects.record_completed(3_000, Fingerprint(100 + other));
     }
-    assert!(!suspects.record_completed(3_000, Fingerprint(100)), "only the most recent are remembered");
+    assert!(
+        !suspects.record_completed(3_000, Fingerprint(100)),
+        "only the most recent are remembered"
+    );
 }
 
 /// Repeated losses of thousands of requests at once must not unblock a blocked request.
@@ -208,7 +230,11 @@
 }
 
 fn interrupted(target: &str, sent: Millis, ended: Millis) -> Interrupted {
-    Interrupted { request: RequestId(1), fingerprint: FINGERPRINT, death: death(target, sent, ended) }
+    Interrupted {
+        request: RequestId(1),
+        fingerprint: FINGERPRINT,
+        death: death(target, sent, ended),
+    }
 }
 
 /// A failed link, a group that gives up or a corrupted response interrupts a request too.
@@ -227,7 +253,11 @@
     deaths.record_interrupted(2_000, first.clone());
     assert_eq!(deaths.record_refusal(2_020, "a"), [first]);
     let late = interrupted("a", 1_500, 2_030);
-    assert_eq!(deaths.record_interrupted(2_030, late.clone()), Some(late), "the target is known to be gone by then");
+    assert_eq!(
+        deaths.record_interrupted(2_030, late.clone()),
+        Some(late),
+        "the target is known to be gone by then"
+    );
     let next = interrupted("a", 2_500, 2_600);
     assert_eq!(deaths.record_interrupted(2_600, next.clone()), None, "sent to a later incarnation");
     assert_eq!(deaths.record_gone(6_000, "a"), [next]);
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sablepass_core::deaths::{Interrupted, Deaths};
+use sablepass_core::deaths::{Deaths, Interrupted};
 use sablepass_core::fingerprint::Fingerprint;
 use sablepass_core::flight::Event;
 use sablepass_core::id::{Millis, RequestId};
