--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -75,16 +75,16 @@
         if change == Change::Ended {
             self.limit = None;
         } else if changed {
-            self.share(now, life, holders);
+            self.update_share(now, life, holders);
         }
         change
     }
 
     /// Updates this entry's share of the limit.
-    fn share(&mut self, now: Millis, life: Life<'_>, holders: &Holders) {
+    fn update_share(&mut self, now: Millis, life: Life<'_>, holders: &Holders) {
         if let Some(limit) = &mut self.limit {
-            let part = holders.share(life, limit.rate());
-            limit.bucket.set(now, part);
+            let share = holders.share(life, limit.rate());
+            limit.bucket.set(now, share);
         }
     }
 }
@@ -265,7 +265,7 @@
     pub fn update_shares(&mut self, now: Millis, holders: &Holders) {
         for (name, notice) in &mut self.notices {
             let life = Life { name, born: notice.born };
-            notice.share(now, life, holders);
+            notice.update_share(now, life, holders);
         }
     }
 
