--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -174,7 +174,7 @@
         flight::Request {
             deadline: run.deadline.min(run.arrived + route.timeout),
             max_attempts: route.attempts,
-            unsafe_repeat: route.once(),
+            unsafe_repeat: route.at_most_once(),
             stream: route.class == Class::Stream,
             resumable: route.class == Class::Stream && route.resume,
             ..own
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -103,12 +103,12 @@
     ) {
         match change {
             Change::None => {}
-            Change::Holds(rate) => {
-                let part = self.targets.limit(it).map(|it| it.bucket.a_second());
+            Change::Set(rate) => {
+                let part = self.targets.limit(it).map(|it| it.bucket.per_second());
                 slog::info!(self.log, "limit holds"; "target" => it.name, "born" => it.started_at,
-                    "limit" => rate.a_second(), "part" => part, "source" => source, "id" => label);
+                    "limit" => rate.per_second(), "part" => part, "source" => source, "id" => label);
             }
-            Change::Ends => slog::info!(self.log, "limit ends"; "target" => it.name,
+            Change::Ended => slog::info!(self.log, "limit ends"; "target" => it.name,
                 "born" => it.started_at, "source" => source, "id" => label),
         }
     }
@@ -117,8 +117,8 @@
     fn tell_limit(&self, it: TargetIncarnation<'_>, change: Change) {
         let rate = match change {
             Change::None => return,
-            Change::Holds(rate) => Some(rate),
-            Change::Ends => None,
+            Change::Set(rate) => Some(rate),
+            Change::Ended => None,
         };
         self.tell(&Told { limits: vec![(it, rate)], ..Told::default() });
     }
@@ -144,8 +144,8 @@
         }
         let (mut all, mut own) = (0.0, 0.0);
         for (_, it) in self.targets.limits() {
-            all += it.rate().a_second();
-            own += it.bucket.a_second();
+            all += it.rate().per_second();
+            own += it.bucket.per_second();
         }
         self.metrics.limits.with_label_values(&["all"]).set(all);
         self.metrics.limits.with_label_values(&["own"]).set(own);
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sablepass_core::deaths::{Case, Deaths};
+use sablepass_core::deaths::{Deaths, Interrupted};
 use sablepass_core::fingerprint::Fingerprint;
 use sablepass_core::flight::Event;
 use sablepass_core::id::{Millis, RequestId};
@@ -98,7 +98,7 @@
 
     /// What a process beside a target is to remember.
     pub(crate) fn held(&self, now: Millis) -> Option<Told> {
-        Some(told(self.suspects.held(now))).filter(|it| !it.is_empty())
+        Some(told(self.suspects.blocked(now))).filter(|it| !it.is_empty())
     }
 
     /// The next message to the other entries.
@@ -125,7 +125,7 @@
         };
         let line = |(it, deaths): (&Fingerprint, &Vec<&Death>)| {
             let until = match self.suspects.standing(now, *it) {
-                Standing::Held(until) => Some(until),
+                Standing::Blocked(until) => Some(until),
                 Standing::Suspect | Standing::Clear => None,
             };
             let deaths: Vec<serde_json::Value> = deaths.iter().map(death).collect();
@@ -157,8 +157,8 @@
             sent: open.sent,
             ended: now,
         };
-        let case = Case { request: id, fingerprint: open.fingerprint(), death };
-        match self.watch.deaths.broke_off(now, case) {
+        let case = Interrupted { request: id, fingerprint: open.fingerprint(), death };
+        match self.watch.deaths.record_interrupted(now, case) {
             Some(case) => self.ended_under(cx, case),
             None => self.probe(cx, now, target),
         }
@@ -182,7 +182,7 @@
 
     /// A process that ends may close its connections before it stops to listen.
     fn look_again(&mut self, cx: CX![], target: String) {
-        let waits = self.watch.deaths.waits(&target);
+        let waits = self.watch.deaths.is_pending(&target);
         if let Some(to) = self.targets.destination(&target).filter(|_| waits) {
             self.pool.probe(cx, clock::now(), to);
         }
@@ -190,19 +190,19 @@
 
     /// Records that a target refuses connections: its process has ended.
     pub(crate) fn target_refuses(&mut self, cx: CX![], target: &str) {
-        for case in self.watch.deaths.refuses(clock::now(), target) {
+        for case in self.watch.deaths.record_refusal(clock::now(), target) {
             self.ended_under(cx, case);
         }
     }
 
     /// Records that the instance list names a target no more, or a later life of it.
     pub(crate) fn target_gone(&mut self, cx: CX![], target: &str) {
-        for case in self.watch.deaths.gone(clock::now(), target) {
+        for case in self.watch.deaths.record_gone(clock::now(), target) {
             self.ended_under(cx, case);
         }
     }
 
-    fn ended_under(&mut self, cx: CX![], case: Case) {
+    fn ended_under(&mut self, cx: CX![], case: Interrupted) {
         let target = case.death.target.clone();
         self.traces.add(case.death.ended, case.request, Step::TargetEnded { target });
         self.suspect(cx, case.fingerprint, case.death, None);
@@ -230,14 +230,14 @@
         self.metrics.suspects_evicted.inc_by(self.watch.suspects.evicted() - evicted);
         match change {
             Change::Nothing => return,
-            Change::Absolved => return self.tell_sound(it),
-            Change::Counted | Change::Held => {}
+            Change::Cleared => return self.tell_sound(it),
+            Change::Counted | Change::Blocked => {}
         }
         let source = if peer.is_some() { "told" } else { "seen" };
         self.metrics.deaths.with_label_values(&[source]).inc();
         slog::warn!(self.log, "target ended under a request"; "fingerprint" => %it,
             "target" => &death.target, "born" => death.born, "request_sent" => death.sent,
-            "ended" => death.ended, "source" => source, "held" => change == Change::Held);
+            "ended" => death.ended, "source" => source, "held" => change == Change::Blocked);
         if self.watch.untold.deaths.len() < BACKLOG {
             self.watch.untold.deaths.push((it, death));
         }
@@ -245,7 +245,7 @@
             // At once: the next copy may be on its way to another entry.
             self.tell_suspects();
         }
-        if change == Change::Held {
+        if change == Change::Blocked {
             self.hold_back(cx, now, it);
         }
     }
@@ -272,8 +272,8 @@
         let Some(open) = self.open.get(&id) else { return false };
         let it = open.fingerprint();
         let until = match self.watch.suspects.standing(now, it) {
-            Standing::Held(until) => Some(until),
-            Standing::Suspect => self.watch.suspects.paused(now, it, self.trial(id, open)),
+            Standing::Blocked(until) => Some(until),
+            Standing::Suspect => self.watch.suspects.paused_until(now, it, self.trial(id, open)),
             Standing::Clear => None,
         };
         if let Some(until) = until
@@ -291,7 +291,7 @@
             *other != id && copy.counted.is_some() && copy.fingerprint() == it
         };
         Trial {
-            dear: self.targets.stands_together(&open.served),
+            expensive: self.targets.stands_together(&open.served),
             owner: several && self.targets.owns(&it.to_string()),
             busy: several && self.open.iter().any(copy),
         }
@@ -324,7 +324,7 @@
     /// Records that a target ran a request to its end.
     pub(crate) fn ran_whole(&mut self, id: RequestId) {
         let Some(it) = self.open.get(&id).map(crate::open::Open::fingerprint) else { return };
-        if self.watch.suspects.ran(clock::now(), it) {
+        if self.watch.suspects.record_completed(clock::now(), it) {
             self.tell_sound(it);
         }
     }
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -17,14 +17,14 @@
     pub(super) fn watch_holders(&mut self, now: Millis) {
         let count = self.sharers.is_known().then(|| self.sharers.count());
         if self.holders.watch(now, count) {
-            self.notices.share(now, &self.holders);
+            self.notices.update_shares(now, &self.holders);
         }
     }
 
     /// Records that this process did not run for a while.
     pub fn slept(&mut self, now: Millis) {
-        self.holders.slept(now);
-        self.notices.share(now, &self.holders);
+        self.holders.resumed(now);
+        self.notices.update_shares(now, &self.holders);
     }
 
     /// Takes the limit that an answer names, or that it names none, to a request sent at `sent`.
@@ -53,7 +53,7 @@
         if self.is_past(it) {
             return Change::None;
         }
-        let change = self.notices.told(now, it, rate, &self.holders);
+        let change = self.notices.reported_by_peer(now, it, rate, &self.holders);
         self.note_listing(now, it.name);
         change
     }
@@ -61,12 +61,12 @@
     /// Takes what the agent before a target tells of its limit.
     pub fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) -> Change {
         let life = self.life(name);
-        self.notices.reported(now, life, rate, &self.holders)
+        self.notices.reported_by_agent(now, life, rate, &self.holders)
     }
 
     /// Believes what was told of limits, where nothing speaks against it. What changed.
     pub fn settle_limits(&mut self, now: Millis) -> Vec<(String, Change)> {
-        self.notices.settle(now, &self.holders)
+        self.notices.apply_pending(now, &self.holders)
     }
 
     /// The lives that name a limit.
@@ -129,7 +129,7 @@
     /// The other entries that hold a target's limit.
     pub fn holders(&self, name: &str) -> Vec<&str> {
         let life = self.life(name);
-        self.limit(life).map_or_else(Vec::new, |it| self.holders.others(life, it.rate()))
+        self.limit(life).map_or_else(Vec::new, |it| self.holders.other_holders(life, it.rate()))
     }
 
     /// Whether this entry is the one of all that does something.
@@ -140,6 +140,6 @@
     /// Places of a target, as many as a limit lets through.
     pub(super) fn places(&self, name: &str, capacity: f64) -> f64 {
         let limit = self.limit(self.life(name));
-        limit.map_or(capacity, |it| capacity.min(it.rate().a_second() * LASTS))
+        limit.map_or(capacity, |it| capacity.min(it.rate().per_second() * LASTS))
     }
 }
--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -36,7 +36,7 @@
     /// Says which other entries this one knows of by itself.
     pub fn meet(&mut self, others: Vec<String>) {
         self.met = others.len() + 1;
-        self.holders.meet(others);
+        self.holders.set_peers(others);
     }
 
     /// Counts the entries anew, by connections to them and by the agents' word.
@@ -81,13 +81,13 @@
 
     /// Looks again whose machine counts as asleep. Returns those that do since now.
     pub fn watch_quiet(&mut self, now: Millis) -> Vec<String> {
-        let quiet = self.members.quiet(now);
+        let quiet = self.members.unresponsive(now);
         let fresh = quiet.difference(&self.quiet).cloned().collect();
         self.find_broken(now);
         self.notices.sweep(now);
-        self.members.age(now);
+        self.members.expire_loads(now);
         self.counts = self.count(now);
-        self.idle = self.members.standing(now).chain(&quiet).cloned().collect();
+        self.idle = self.members.stalled(now).chain(&quiet).cloned().collect();
         self.quiet = quiet;
         fresh
     }
