--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -239,7 +239,8 @@
     ) -> Change {
         let known = self.get(life).is_some_and(|it| it.limit.is_some());
         let Some(rate) = rate.filter(|_| !known) else {
-            let notice = self.notices.get_mut(life.name).filter(|known| known.born == life.started_at);
+            let notice =
+                self.notices.get_mut(life.name).filter(|known| known.born == life.started_at);
             return notice.map_or(Change::None, |known| known.change(now, life, holders, change));
         };
         let mut limit = Limit::new(now, rate);
@@ -284,9 +285,12 @@
     /// a target's limit; none if the target has no limit.
     pub fn reserve(
         &mut self,
-        now: Millis, life: TargetIncarnation<'_>, max_wait: Millis,
+        now: Millis,
+        life: TargetIncarnation<'_>,
+        max_wait: Millis,
     ) -> Option<Turn> {
-        let notice = self.notices.get_mut(life.name).filter(|known| known.born == life.started_at)?;
+        let notice =
+            self.notices.get_mut(life.name).filter(|known| known.born == life.started_at)?;
         Some(notice.limit.as_mut()?.bucket.reserve(now, max_wait))
     }
 
