--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -21,7 +21,7 @@
 use stakker::CX;
 
 use crate::call::{Asks, Call, Run};
-use crate::open::Open;
+use crate::open::OpenRequest;
 use crate::openai;
 use crate::router::Router;
 use crate::targets::Served;
@@ -126,13 +126,13 @@
         exchange: server::ExchangeKey,
         run: Run,
         it: Admitted,
-    ) -> Open {
+    ) -> OpenRequest {
         let key = run.idempotency.as_ref().filter(|_| run.unsafe_repeat);
         let key = key.map(|text| Key { customer: it.customer.clone(), text: text.clone() });
         let request = self.flight_request(&run, it.route.as_deref(), key.is_some());
         let step = Step::Admitted { customer: it.customer.clone(), serves: it.served.1.clone() };
         self.traces.add(now, run.id, step);
-        Open {
+        OpenRequest {
             flight: Flight::new(self.settings.flight(), request),
             customer: it.customer,
             told: it.told,
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -15,7 +15,7 @@
 use stakker::CX;
 
 use crate::notices::Source;
-use crate::open::Open;
+use crate::open::OpenRequest;
 use crate::pool::{Carried, ConnectionKey, Destination};
 use crate::router::Router;
 
@@ -248,7 +248,7 @@
 
 fn direct_head(
     now: Millis,
-    open: &Open,
+    open: &OpenRequest,
     target: &str,
 ) -> sablepass_platform::Result<http::Request<()>> {
     let run = &open.run;
--- a/crates/sablepass-entry/src/open.rs
+++ b/crates/sablepass-entry/src/open.rs
@@ -26,7 +26,7 @@
 const FORM_WAIT: Millis = 1_400;
 
 /// A request in progress.
-pub(crate) struct Open {
+pub(crate) struct OpenRequest {
     pub(crate) flight: Flight,
     pub(crate) run: Run,
     pub(crate) fingerprint: OnceCell<Fingerprint>,
@@ -70,7 +70,7 @@
     pub(crate) revision: Revision,
 }
 
-impl Open {
+impl OpenRequest {
     /// What the request has in common with any other one that asks for the
     /// same. Worked out when first asked for: few requests are ever suspected.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -17,7 +17,7 @@
 use sablepass_wire::{convert, generated as wire};
 use stakker::{CX, call};
 
-use crate::open::Open;
+use crate::open::OpenRequest;
 use crate::router::Router;
 use crate::targets::listing::Changes;
 
@@ -158,7 +158,7 @@
     }
 
     fn requests_at(&self, target: &str) -> Vec<RequestId> {
-        let there = |it: &Open| it.flight.target() == Some(target);
+        let there = |it: &OpenRequest| it.flight.target() == Some(target);
         self.open.iter().filter(|(_, it)| there(it)).map(|(id, _)| *id).collect()
     }
 
@@ -215,7 +215,7 @@
     /// Moves what runs at a target that crawls to others, as far as it can go
     /// on there: while it runs, all ranks of the group are as slow.
     fn relieve(&mut self, cx: CX![], target: &str) {
-        let there = |it: &&Open| it.flight.target() == Some(target);
+        let there = |it: &&OpenRequest| it.flight.target() == Some(target);
         let Some(served) = self.open.values().find(there).map(|it| it.served.clone()) else {
             return;
         };
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -30,7 +30,7 @@
 use slog::Logger;
 use stakker::{ActorOwn, CX, call, fwd_to};
 
-use crate::open::Open;
+use crate::open::OpenRequest;
 use crate::openai;
 use crate::pool::{ConnectionKey, Destination, Pool};
 use crate::settings::Settings;
@@ -64,7 +64,7 @@
     pub(crate) options: openai::Options,
     /// A retry budget a service.
     pub(crate) budgets: HashMap<Served, Budget>,
-    pub(crate) open: HashMap<RequestId, Open>,
+    pub(crate) open: HashMap<RequestId, OpenRequest>,
     pub(crate) exchanges: HashMap<ExchangeKey, RequestId>,
     /// Streams that wait to begin, by service.
     pub(crate) starts: HashMap<Served, StartQueue>,
@@ -231,7 +231,7 @@
         {
             return false;
         }
-        let same = |it: &&Open| it.waiting.is_some() && it.served == open.served;
+        let same = |it: &&OpenRequest| it.waiting.is_some() && it.served == open.served;
         let most = self.targets.whole(&open.served).capacity * FORM_PART;
         (self.open.values().filter(same).count() as f64) < most
     }
@@ -441,7 +441,7 @@
     }
 }
 
-fn dispatch_body(open: &Open, attempt: AttemptId, incarnation: Incarnation) -> Body {
+fn dispatch_body(open: &OpenRequest, attempt: AttemptId, incarnation: Incarnation) -> Body {
     let run = &open.run;
     Body::Dispatch(wire::Dispatch {
         request: convert::request_bytes(attempt.request),
@@ -460,7 +460,7 @@
     })
 }
 
-fn route_name(open: &Open) -> Option<&str> {
+fn route_name(open: &OpenRequest) -> Option<&str> {
     open.route.as_ref().map(|it| it.name.as_str())
 }
 
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -19,7 +19,7 @@
 use sablepass_wire::suspects::Told;
 use stakker::{CX, after, call};
 
-use crate::open::Open;
+use crate::open::OpenRequest;
 use crate::router::Router;
 use crate::trace::Step;
 
@@ -284,10 +284,10 @@
         until.is_some()
     }
 
-    fn trial(&self, id: RequestId, open: &Open) -> Trial {
+    fn trial(&self, id: RequestId, open: &OpenRequest) -> Trial {
         let it = open.fingerprint();
         let several = self.watch.suspects.deaths_of(it).len() >= 2;
-        let copy = |(other, copy): (&RequestId, &Open)| {
+        let copy = |(other, copy): (&RequestId, &OpenRequest)| {
             *other != id && copy.counted.is_some() && copy.fingerprint() == it
         };
         Trial {
@@ -323,7 +323,7 @@
 
     /// Records that a target ran a request to its end.
     pub(crate) fn ran_whole(&mut self, id: RequestId) {
-        let Some(it) = self.open.get(&id).map(crate::open::Open::fingerprint) else { return };
+        let Some(it) = self.open.get(&id).map(crate::open::OpenRequest::fingerprint) else { return };
         if self.watch.suspects.record_completed(clock::now(), it) {
             self.tell_sound(it);
         }
