--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -179,7 +179,7 @@
         }
         let now = clock::now();
         let carried = self.pool.carried(key).copied();
-        let sent = carried.and_then(|it| self.open.get(&it.request)).map_or(now, |it| it.sent);
+        let sent = carried.and_then(|it| self.open.get(&it.request)).map_or(now, |it| it.sent_at);
         let admits = self.pool.target(key).is_some_and(|it| self.targets.admits(now, it, sent));
         if admits {
             self.pool.send_waiting(key);
@@ -253,7 +253,7 @@
 ) -> sablepass_platform::Result<http::Request<()>> {
     let run = &open.run;
     let attempt = request::Attempt {
-        customer: open.told.as_deref(),
+        customer: open.forwarded_customer.as_deref(),
         left: open.flight.request().deadline.saturating_sub(now).max(1),
         replica: target,
         after: open.flight.last_event_id(),
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -86,7 +86,7 @@
         }
         let open = self.open.get(&carried.request);
         let open = open.filter(|it| it.flight.attempt().number == carried.attempt);
-        let sent = open.map_or(0, |it| it.sent);
+        let sent = open.map_or(0, |it| it.sent_at);
         let label = open.map(|it| it.run.label.clone());
         let change = self.targets.answered(now, it, sent, named);
         self.limit_changed(it, change, label.as_deref(), "seen");
@@ -156,15 +156,15 @@
     /// entry.
     pub(crate) fn check_wishes(&self, now: Millis, carried: Carried, it: TargetIncarnation<'_>) {
         let Some(open) = self.open.get(&carried.request) else { return };
-        if self.targets.left_before(it, open.sent) {
+        if self.targets.left_before(it, open.sent_at) {
             self.metrics.sent_to_leaving.inc();
             slog::error!(self.log, "sent to a target that leaves"; "id" => &open.run.label,
-                "target" => it.name, "born" => it.started_at, "sent" => open.sent);
+                "target" => it.name, "born" => it.started_at, "sent" => open.sent_at);
         }
-        if self.targets.rested_before(now, it, open.sent) {
+        if self.targets.rested_before(now, it, open.sent_at) {
             self.metrics.sent_to_resting.inc();
             slog::error!(self.log, "sent to a target that rests"; "id" => &open.run.label,
-                "target" => it.name, "born" => it.started_at, "sent" => open.sent);
+                "target" => it.name, "born" => it.started_at, "sent" => open.sent_at);
         }
     }
 
--- a/crates/sablepass-entry/src/open.rs
+++ b/crates/sablepass-entry/src/open.rs
@@ -33,7 +33,7 @@
     /// The customer's qualified name.
     pub(crate) customer: String,
     /// The customer's name as targets are told it.
-    pub(crate) told: Option<String>,
+    pub(crate) forwarded_customer: Option<String>,
     pub(crate) priority: Priority,
     pub(crate) served: Served,
     /// The route that it came by, as it was then.
@@ -43,29 +43,29 @@
     /// The target that owns the request's key.
     pub(crate) owner: Option<String>,
     /// Since when the request waits for a connection to that target.
-    pub(crate) waiting: Option<Millis>,
+    pub(crate) waiting_since: Option<Millis>,
     /// How it waits for a target that gets as many requests as it takes.
     pub(crate) slot: Option<Slot>,
     /// It has asked another entry for its turn since it was last sent.
-    pub(crate) sought: bool,
+    pub(crate) turn_requested: bool,
     /// The target that counts this request as its own.
-    pub(crate) counted: Option<String>,
+    pub(crate) counted_target: Option<String>,
     /// The connection that carries it, if it goes straight to its target.
     pub(crate) connection: Option<ConnectionKey>,
     /// The caller's answer has begun.
-    pub(crate) begun: bool,
+    pub(crate) head_sent: bool,
     /// When the caller last got something.
-    pub(crate) spoke: Millis,
+    pub(crate) delivered_at: Millis,
     /// When its last attempt was sent.
-    pub(crate) sent: Millis,
+    pub(crate) sent_at: Millis,
     /// When it was first sent to a target.
     pub(crate) started: Millis,
     /// How long its caller waited for the first of the answer, and at most for
     /// any more of it, with when that wait ended.
-    pub(crate) first: Millis,
-    pub(crate) pause: (Millis, Millis),
+    pub(crate) time_to_first_byte: Millis,
+    pub(crate) longest_pause: (Millis, Millis),
     /// When its caller may come back, if it is refused.
-    pub(crate) comeback: Option<Millis>,
+    pub(crate) retry_after: Option<Millis>,
     /// Revision of the configuration that it was admitted by.
     pub(crate) revision: Revision,
 }
@@ -81,7 +81,7 @@
     }
 
     /// Whether it may still wait for its group to open.
-    pub(crate) fn is_patient(&self, now: Millis) -> bool {
+    pub(crate) fn may_wait_for_group(&self, now: Millis) -> bool {
         now < self.flight.request().deadline.min(self.run.arrived + FORM_WAIT)
     }
 }
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -156,7 +156,7 @@
             self.event(cx, id, 0, Event::Tick { heard: now });
             return;
         }
-        if let Some(name) = open.counted.take() {
+        if let Some(name) = open.counted_target.take() {
             self.targets.ended(&name);
         }
         let given = open.slot.take().and_then(|it| it.given());
@@ -165,7 +165,7 @@
             _ if given.is_some() => given,
             Some(owner) => {
                 let choice = self.targets.choose_owner(now, owner);
-                let since = *open.waiting.get_or_insert(now);
+                let since = *open.waiting_since.get_or_insert(now);
                 if choice.is_none() && now < since + OWNER_WAIT && now < open.run.deadline {
                     self.want(cx);
                     return;
@@ -178,7 +178,7 @@
                 self.targets.choose(now, &mut self.rng, &open.served, prefix, tried)
             }
         };
-        open.waiting = None;
+        open.waiting_since = None;
         match choice {
             Some(choice) => self.send(cx, now, id, &choice),
             None => self.no_target(cx, now, id),
@@ -190,7 +190,7 @@
     fn no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
         // A report may have come since the last tick.
         self.targets.watch_groups(now);
-        let opens_soon = self.may_wait(now, id);
+        let opens_soon = self.should_wait_for_group(now, id);
         if self.seek_turn(cx, now, id) {
             return;
         }
@@ -198,8 +198,8 @@
             return;
         };
         let rested = self.targets.rested(now, &open.served);
-        if open.begun && rested.unwrap_or(now) < open.spoke + RESUME_WAIT {
-            open.waiting = Some(now);
+        if open.head_sent && rested.unwrap_or(now) < open.delivered_at + RESUME_WAIT {
+            open.waiting_since = Some(now);
             return;
         }
         if rested.is_some() {
@@ -208,7 +208,7 @@
             return;
         }
         if opens_soon {
-            open.waiting = Some(now);
+            open.waiting_since = Some(now);
             slog::info!(self.log, "waits for its group"; "id" => &open.run.label,
                 "service" => &open.served.1, "after" => now.saturating_sub(open.run.arrived));
             return;
@@ -223,15 +223,15 @@
     }
 
     /// Whether a request that has no target had better wait for its group.
-    fn may_wait(&self, now: Millis, id: RequestId) -> bool {
+    fn should_wait_for_group(&self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return false };
-        if !open.is_patient(now)
+        if !open.may_wait_for_group(now)
             || open.owner.is_some()
             || !self.targets.opens_soon(now, &open.served)
         {
             return false;
         }
-        let same = |it: &&OpenRequest| it.waiting.is_some() && it.served == open.served;
+        let same = |it: &&OpenRequest| it.waiting_since.is_some() && it.served == open.served;
         let most = self.targets.whole(&open.served).capacity * FORM_PART;
         (self.open.values().filter(same).count() as f64) < most
     }
@@ -245,9 +245,9 @@
             Via::Direct(..) => Incarnation(0),
         };
         let attempt = open.flight.send(now, &choice.name, incarnation);
-        open.sent = now;
-        open.counted = Some(choice.name.clone());
-        open.sought = false;
+        open.sent_at = now;
+        open.counted_target = Some(choice.name.clone());
+        open.turn_requested = false;
         if !choice.given && !self.targets.spend(now, &choice.name) {
             self.metrics.sent_over_limit.inc();
             slog::error!(self.log, "sent over the part of a limit"; "id" => &open.run.label,
@@ -337,17 +337,17 @@
             Action::Head(head) => {
                 let took = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
                 self.metrics.first_byte.observe(took);
-                open.begun = true;
-                open.spoke = now;
-                open.first = now.saturating_sub(open.run.arrived);
+                open.head_sent = true;
+                open.delivered_at = now;
+                open.time_to_first_byte = now.saturating_sub(open.run.arrived);
                 let stream = open.flight.request().stream;
                 self.settings.dialect.head(&open.run.reply, &open.run.label, head, stream);
             }
             Action::Deliver(bytes) => {
-                let paused = now.saturating_sub(open.spoke);
-                open.pause = open.pause.max((paused, now));
+                let paused = now.saturating_sub(open.delivered_at);
+                open.longest_pause = open.longest_pause.max((paused, now));
                 self.metrics.between.observe(paused as f64 / 1_000.0);
-                open.spoke = now;
+                open.delivered_at = now;
                 open.run.reply.send(Part::Bytes(bytes));
             }
             Action::Finish => {
@@ -355,13 +355,13 @@
                 open.run.reply.send(Part::End);
                 slog::info!(self.log, "answered"; "id" => &open.run.label,
                     "target" => open.flight.target(), "attempts" => open.flight.attempt().number,
-                    "took" => now.saturating_sub(open.run.arrived), "first" => open.first,
+                    "took" => now.saturating_sub(open.run.arrived), "first" => open.time_to_first_byte,
                     "started" => open.started.saturating_sub(open.run.arrived),
-                    "pause" => open.pause.0, "pause_until" => open.pause.1,
+                    "pause" => open.longest_pause.0, "pause_until" => open.longest_pause.1,
                     "service" => &open.served.1, "allowed" => open.route.as_ref().and_then(|it| it.pause),
                     "objective" => open.route.as_ref().map(|it| it.objective));
                 let (served, started) = (open.served.clone(), open.started);
-                let opened = (open.run.arrived + open.first).saturating_sub(started);
+                let opened = (open.run.arrived + open.time_to_first_byte).saturating_sub(started);
                 let starts = self.starts.entry(served).or_default();
                 starts.record_end(now.saturating_sub(started), opened);
                 self.traces.add(now, id, Step::Answered);
@@ -384,7 +384,7 @@
         let Some(open) = self.open.get_mut(&id) else { return };
         if let Some(until) = self.targets.rested(now, &open.served) {
             let spread = self.rng.random_range(0..COME_BACK_SPREAD);
-            open.comeback.get_or_insert((until - now).saturating_add(spread));
+            open.retry_after.get_or_insert((until - now).saturating_add(spread));
         }
     }
 
@@ -395,18 +395,18 @@
         slog::warn!(self.log, "failed"; "id" => &open.run.label,
             "reason" => failure.reason.label(), "ran" => failure.ran.label(),
             "target" => open.flight.target(), "attempts" => open.flight.attempt().number,
-            "begun" => open.begun, "took" => now.saturating_sub(open.run.arrived),
+            "begun" => open.head_sent, "took" => now.saturating_sub(open.run.arrived),
             "customer" => &open.customer, "service" => &open.served.1,
-            "era" => open.revision.era, "revision" => open.revision.number, "comeback" => open.comeback);
+            "era" => open.revision.era, "revision" => open.revision.number, "comeback" => open.retry_after);
         self.traces.add(now, id, Step::Failed(failure));
         if failure.reason == Refusal::CallerGone {
             return;
         }
         let (reply, label) = (&open.run.reply, &open.run.label);
-        if open.begun {
+        if open.head_sent {
             self.settings.dialect.break_off(reply, label, failure);
         } else {
-            self.settings.dialect.fail(reply, label, failure, open.comeback);
+            self.settings.dialect.fail(reply, label, failure, open.retry_after);
         }
     }
 
@@ -434,7 +434,7 @@
         };
         self.admission.release(&open.ticket);
         self.exchanges.remove(&open.exchange);
-        if let Some(name) = open.counted {
+        if let Some(name) = open.counted_target {
             self.targets.ended(&name);
         }
         self.metrics.in_flight.set(self.open.len() as i64);
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -49,7 +49,7 @@
 
     fn refuse_until(&mut self, cx: CX![], id: RequestId, wait: Option<Millis>, room: Room) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        open.comeback = wait;
+        open.retry_after = wait;
         let open_now = matches!(room, Room::Open { .. } | Room::Free);
         let reason = if open_now { Refusal::Crowded } else { Refusal::GroupClosed };
         let counts = self.targets.counts();
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -154,7 +154,7 @@
         let death = Death {
             target: target.to_owned(),
             born: self.targets.born(target),
-            sent: open.sent,
+            sent: open.sent_at,
             ended: now,
         };
         let case = Interrupted { request: id, fingerprint: open.fingerprint(), death };
@@ -279,7 +279,7 @@
         if let Some(until) = until
             && let Some(open) = self.open.get_mut(&id)
         {
-            open.comeback = Some(until.saturating_sub(now));
+            open.retry_after = Some(until.saturating_sub(now));
         }
         until.is_some()
     }
@@ -288,7 +288,7 @@
         let it = open.fingerprint();
         let several = self.watch.suspects.deaths_of(it).len() >= 2;
         let copy = |(other, copy): (&RequestId, &OpenRequest)| {
-            *other != id && copy.counted.is_some() && copy.fingerprint() == it
+            *other != id && copy.counted_target.is_some() && copy.fingerprint() == it
         };
         Trial {
             expensive: self.targets.stands_together(&open.served),
@@ -304,7 +304,7 @@
         }
         let Some(open) = self.open.get_mut(&id) else { return false };
         slog::warn!(self.log, "held back"; "id" => &open.run.label,
-            "fingerprint" => %open.fingerprint(), "for" => open.comeback);
+            "fingerprint" => %open.fingerprint(), "for" => open.retry_after);
         let actions = open.flight.refuse(Refusal::EndsTargets);
         self.act(cx, id, actions);
         true
@@ -323,7 +323,9 @@
 
     /// Records that a target ran a request to its end.
     pub(crate) fn ran_whole(&mut self, id: RequestId) {
-        let Some(it) = self.open.get(&id).map(crate::open::OpenRequest::fingerprint) else { return };
+        let Some(it) = self.open.get(&id).map(crate::open::OpenRequest::fingerprint) else {
+            return;
+        };
         if self.watch.suspects.record_completed(clock::now(), it) {
             self.tell_sound(it);
         }
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -71,10 +71,10 @@
             self.await_turn(cx, id);
             return;
         }
-        if open.waiting.is_some() {
+        if open.waiting_since.is_some() {
             // One that waits for its group has nowhere to go until that opens.
             let now = clock::now();
-            let waits = !open.begun && open.is_patient(now);
+            let waits = !open.head_sent && open.may_wait_for_group(now);
             if !waits || !self.targets.opens_soon(now, &open.served) {
                 self.dispatch(cx, id);
             }
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -103,7 +103,7 @@
         if self.take_turn(now, id, &limited, most) || self.ask_turn(now, id, &limited, most) {
             return true;
         }
-        if self.open.get(&id).is_some_and(|it| it.begun) {
+        if self.open.get(&id).is_some_and(|it| it.head_sent) {
             return false;
         }
         self.metrics.turns.with_label_values(&["refused"]).inc();
@@ -115,8 +115,8 @@
     fn useful_wait(&self, now: Millis, id: RequestId) -> Millis {
         let Some(open) = self.open.get(&id) else { return 0 };
         let deadline = open.flight.request().deadline;
-        if open.begun {
-            return deadline.min(open.spoke + RESUME_WAIT).saturating_sub(now);
+        if open.head_sent {
+            return deadline.min(open.delivered_at + RESUME_WAIT).saturating_sub(now);
         }
         let opens = self.starts.get(&open.served).map_or(0, |it| it.time_to_first_event());
         let objective = open.route.as_ref().map_or(0, |it| it.objective);
@@ -145,14 +145,14 @@
         slog::info!(self.log, "has its turn"; "id" => &open.run.label, "target" => &it.target,
             "wait" => wait);
         self.traces.add(now, id, Step::Turn { target: it.target.clone(), wait });
-        open.waiting = Some(now);
+        open.waiting_since = Some(now);
         open.slot = Some(Slot::Given(it));
     }
 
     /// Asks an entry that holds the limit of one of these targets, unless it is known
     /// that none has a turn in time.
     fn ask_turn(&mut self, now: Millis, id: RequestId, limited: &[String], most: Millis) -> bool {
-        if self.open.get(&id).is_none_or(|it| it.sought) {
+        if self.open.get(&id).is_none_or(|it| it.turn_requested) {
             return false;
         }
         let useful = |target: &String, peer: &PeerKey| {
@@ -171,8 +171,8 @@
         let life = TargetIncarnation { name: target, started_at: self.targets.born(target) };
         call!([self.mesh], send(peer, turns::ask(Ask { target: life, request: id, most })));
         if let Some(open) = self.open.get_mut(&id) {
-            open.sought = true;
-            open.waiting = Some(now);
+            open.turn_requested = true;
+            open.waiting_since = Some(now);
             open.slot = Some(Slot::Asked { target: target.clone(), peer, until: now + ANSWERS });
         }
         true
@@ -192,8 +192,8 @@
         let spread = self.rng.random_range(0..=every);
         let Some(open) = self.open.get_mut(&id) else { return };
         slog::info!(self.log, "no turn"; "id" => &open.run.label, "limited" => limited.len(),
-            "limits" => rate, "next" => next, "asked" => open.sought);
-        open.comeback = Some(next.saturating_add(spread));
+            "limits" => rate, "next" => next, "asked" => open.turn_requested);
+        open.retry_after = Some(next.saturating_add(spread));
         let actions = open.flight.refuse(Refusal::TargetsLimited);
         self.act(cx, id, actions);
     }
