--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -16,7 +16,7 @@
 
 use crate::notices::Source;
 use crate::open::OpenRequest;
-use crate::pool::{Carried, ConnectionKey, Destination};
+use crate::pool::{ConnectionKey, Destination, InFlightAttempt};
 use crate::router::Router;
 
 /// How long a target is left alone that refused a connection.
@@ -47,8 +47,9 @@
             }
         };
         let fresh = open.flight.request().unsafe_repeat;
-        let key = self.pool.take(cx, to, fresh);
-        let carried = Carried { request: attempt.request, attempt: attempt.number, offset: 0 };
+        let key = self.pool.acquire(cx, to, fresh);
+        let carried =
+            InFlightAttempt { request: attempt.request, attempt: attempt.number, offset: 0 };
         let body = open.run.body.clone();
         let outgoing = Outgoing { head, body, echo: Some(request::REQUEST_ID) };
         open.connection = Some(key);
@@ -61,7 +62,7 @@
             client::Event::Connected => self.direct_connected(cx, key),
             client::Event::Head(head) => self.direct_answer(cx, key, &head),
             client::Event::Bytes(data) => {
-                let Some(carried) = self.pool.carried(key) else { return };
+                let Some(carried) = self.pool.in_flight(key) else { return };
                 let offset = carried.offset;
                 carried.offset += data.len() as u64;
                 let (id, attempt) = (carried.request, carried.attempt);
@@ -69,10 +70,10 @@
             }
             client::Event::End { reusable, rest } => {
                 let now = clock::now();
-                let carried = self.pool.carried(key).copied();
+                let carried = self.pool.in_flight(key).copied();
                 let leaves = self.pool.target(key).is_some_and(|it| self.targets.has_left(now, it));
                 if reusable && !leaves {
-                    self.pool.rest(now, key, rest);
+                    self.pool.release(now, key, rest);
                 } else {
                     self.pool.close(key);
                 }
@@ -95,7 +96,7 @@
     }
 
     fn direct_answer(&mut self, cx: CX![], key: ConnectionKey, head: &http::Response<()>) {
-        let Some(carried) = self.pool.carried(key).copied() else { return };
+        let Some(carried) = self.pool.in_flight(key).copied() else { return };
         let now = clock::now();
         let meta = answer::decode(now, head);
         let Some(life) = self.pool.target(key) else { return };
@@ -165,7 +166,7 @@
         }
         match &event {
             // The rest of the answer is read, and the connection used again.
-            Event::Refused(_) => self.pool.forget(key),
+            Event::Refused(_) => self.pool.detach(key),
             _ => self.pool.close(key),
         }
         self.event(cx, carried.request, carried.attempt, event);
@@ -174,11 +175,11 @@
     /// A connection stands for which a request may wait: the last moment at which the
     /// target's wish to be left alone can be heeded.
     fn direct_connected(&mut self, cx: CX![], key: ConnectionKey) {
-        if !self.pool.connected(key) {
+        if !self.pool.mark_connected(key) {
             return;
         }
         let now = clock::now();
-        let carried = self.pool.carried(key).copied();
+        let carried = self.pool.in_flight(key).copied();
         let sent = carried.and_then(|it| self.open.get(&it.request)).map_or(now, |it| it.sent_at);
         let admits = self.pool.target(key).is_some_and(|it| self.targets.admits(now, it, sent));
         if admits {
@@ -188,8 +189,8 @@
         if self.pool.target(key).is_some_and(|it| self.targets.has_left(now, it)) {
             self.pool.close(key);
         } else {
-            self.pool.take_back(key);
-            self.pool.rest(now, key, None);
+            self.pool.withdraw(key);
+            self.pool.release(now, key, None);
         }
         if let Some(it) = carried {
             self.left(it.request, key);
@@ -205,7 +206,7 @@
     }
 
     fn direct_closed(&mut self, cx: CX![], key: ConnectionKey, cause: &client::Cause, sent: bool) {
-        let carried = self.pool.carried(key).copied();
+        let carried = self.pool.in_flight(key).copied();
         let target = self.pool.target(key).map_or_else(String::new, |it| it.name.to_owned());
         self.pool.close(key);
         if cause.is_refused() {
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -15,7 +15,7 @@
 use sablepass_wire::notices::{self, Told};
 use stakker::call;
 
-use crate::pool::Carried;
+use crate::pool::InFlightAttempt;
 use crate::router::Router;
 use crate::trace::Step;
 
@@ -42,7 +42,7 @@
     pub(crate) fn turned_away(
         &mut self,
         now: Millis,
-        carried: Carried,
+        carried: InFlightAttempt,
         it: TargetIncarnation<'_>,
         status: u16,
         meta: &Meta,
@@ -69,7 +69,7 @@
     pub(crate) fn names_limit(
         &mut self,
         now: Millis,
-        carried: Carried,
+        carried: InFlightAttempt,
         it: TargetIncarnation<'_>,
         limit: Limit,
     ) {
@@ -154,7 +154,12 @@
     /// Counts an answer to a request that was sent while its target rested, or after it was
     /// known to leave. There is none: whoever sees these counts grow has found a fault of the
     /// entry.
-    pub(crate) fn check_wishes(&self, now: Millis, carried: Carried, it: TargetIncarnation<'_>) {
+    pub(crate) fn check_wishes(
+        &self,
+        now: Millis,
+        carried: InFlightAttempt,
+        it: TargetIncarnation<'_>,
+    ) {
         let Some(open) = self.open.get(&carried.request) else { return };
         if self.targets.left_before(it, open.sent_at) {
             self.metrics.sent_to_leaving.inc();
@@ -180,7 +185,7 @@
             self.metrics.left.with_label_values(&[source.label()]).inc();
             slog::info!(self.log, "target leaves"; "target" => it.name, "born" => it.started_at,
                 "source" => source.label());
-            self.pool.leave(it.name);
+            self.pool.close_idle(it.name);
         }
         begins
     }
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -43,7 +43,7 @@
                     self.repeat_notices();
                 }
                 for target in &changes.reborn {
-                    self.pool.leave(target);
+                    self.pool.close_idle(target);
                     self.target_gone(cx, target);
                 }
                 self.forget(cx, &changes.gone);
@@ -93,7 +93,7 @@
     pub(crate) fn forget(&mut self, cx: CX![], targets: &[String]) {
         for target in targets {
             slog::info!(self.log, "target gone"; "target" => target);
-            self.pool.leave(target);
+            self.pool.close_idle(target);
             self.target_gone(cx, target);
         }
     }
--- a/crates/sablepass-entry/src/pool.rs
+++ b/crates/sablepass-entry/src/pool.rs
@@ -26,7 +26,7 @@
 
 /// The request that a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Carried {
+pub struct InFlightAttempt {
     /// The request.
     pub request: RequestId,
     /// Its attempt.
@@ -41,7 +41,7 @@
     /// The target.
     pub target: &'a str,
     /// When its present life began.
-    pub born: Millis,
+    pub started_at: Millis,
     /// Where it takes requests.
     pub addr: SocketAddr,
 }
@@ -55,7 +55,7 @@
     connected: bool,
     /// What is sent once it does, unless the target takes nothing more by then.
     waiting: Option<Outgoing>,
-    carried: Option<Carried>,
+    carried: Option<InFlightAttempt>,
     /// When a connection that rests is closed.
     until: Millis,
 }
@@ -77,7 +77,7 @@
     /// A resting connection to a target, or a new one. `fresh` asks for a new
     /// one: a resting one may die just as it is used, and then nobody knows
     /// whether the request ran.
-    pub fn take(&mut self, core: &mut Core, to: Destination<'_>, fresh: bool) -> ConnectionKey {
+    pub fn acquire(&mut self, core: &mut Core, to: Destination<'_>, fresh: bool) -> ConnectionKey {
         let resting = if fresh { None } else { self.resting.get_mut(to.target).and_then(Vec::pop) };
         resting.unwrap_or_else(|| self.connect(core, to))
     }
@@ -93,7 +93,7 @@
         let it = Open {
             connection,
             target: to.target.to_owned(),
-            born: to.born,
+            born: to.started_at,
             connected: false,
             waiting: None,
             carried: None,
@@ -106,11 +106,11 @@
     /// Makes a connection that rests, to see whether the target takes any.
     pub fn probe(&mut self, core: &mut Core, now: Millis, to: Destination<'_>) {
         let key = self.connect(core, to);
-        self.rest(now, key, None);
+        self.release(now, key, None);
     }
 
     /// Sends a request, once the connection stands.
-    pub fn send(&mut self, key: ConnectionKey, carried: Carried, it: Outgoing) {
+    pub fn send(&mut self, key: ConnectionKey, carried: InFlightAttempt, it: Outgoing) {
         let Some(open) = self.open.get_mut(&key) else { return };
         open.carried = Some(carried);
         open.until = Millis::MAX;
@@ -122,7 +122,7 @@
     }
 
     /// Records that a connection stands. Whether a request waits for that.
-    pub fn connected(&mut self, key: ConnectionKey) -> bool {
+    pub fn mark_connected(&mut self, key: ConnectionKey) -> bool {
         let Some(open) = self.open.get_mut(&key) else { return false };
         open.connected = true;
         open.waiting.is_some()
@@ -137,7 +137,7 @@
     }
 
     /// Takes back the request that waits; nothing of it has left.
-    pub fn take_back(&mut self, key: ConnectionKey) {
+    pub fn withdraw(&mut self, key: ConnectionKey) {
         if let Some(open) = self.open.get_mut(&key) {
             open.waiting = None;
         }
@@ -151,7 +151,7 @@
     }
 
     /// What a connection carries.
-    pub fn carried(&mut self, key: ConnectionKey) -> Option<&mut Carried> {
+    pub fn in_flight(&mut self, key: ConnectionKey) -> Option<&mut InFlightAttempt> {
         self.open.get_mut(&key).and_then(|it| it.carried.as_mut())
     }
 
@@ -162,14 +162,14 @@
 
     /// Leaves the request that a connection carries; the rest of the answer is
     /// read and dropped.
-    pub fn forget(&mut self, key: ConnectionKey) {
+    pub fn detach(&mut self, key: ConnectionKey) {
         if let Some(open) = self.open.get_mut(&key) {
             open.carried = None;
         }
     }
 
     /// Takes a connection back whose answer is whole.
-    pub fn rest(&mut self, now: Millis, key: ConnectionKey, rest: Option<Duration>) {
+    pub fn release(&mut self, now: Millis, key: ConnectionKey, rest: Option<Duration>) {
         let Some(open) = self.open.get_mut(&key) else { return };
         open.carried = None;
         let rest = rest.map_or(REST, |it| it.saturating_sub(EARLY));
@@ -191,14 +191,14 @@
     }
 
     /// Closes the resting connections of a target that is gone.
-    pub fn leave(&mut self, target: &str) {
+    pub fn close_idle(&mut self, target: &str) {
         for key in self.resting.remove(target).unwrap_or_default() {
             self.open.remove(&key);
         }
     }
 
     /// Closes what has rested for long enough.
-    pub fn tick(&mut self, now: Millis) {
+    pub fn close_expired(&mut self, now: Millis) {
         let open = &mut self.open;
         for resting in self.resting.values_mut() {
             resting.retain(|key| {
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -282,8 +282,8 @@
                 let body = dispatch_body(open, attempt, incarnation);
                 call!([self.mesh], send(peer, body));
             }
-            Via::Direct(addr, born) => {
-                let to = Destination { target: &choice.name, born, addr };
+            Via::Direct(addr, started_at) => {
+                let to = Destination { target: &choice.name, started_at, addr };
                 self.send_direct(cx, now, attempt, to);
             }
         }
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -56,7 +56,7 @@
     /// Where a listed target takes requests in its present life.
     pub fn destination<'a>(&self, target: &'a str) -> Option<Destination<'a>> {
         let it = &self.listed.get(target)?.instance;
-        Some(Destination { target, born: it.born, addr: it.addr })
+        Some(Destination { target, started_at: it.born, addr: it.addr })
     }
 
     /// Whether the list names a target no more, and not because it lapsed.
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -41,7 +41,7 @@
         for id in ids {
             self.tick_one(cx, id);
         }
-        self.pool.tick(now);
+        self.pool.close_expired(now);
         let gone = self.targets.lapse_due(now);
         self.forget(cx, &gone);
         self.check_stop(cx, now);
