--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -30,7 +30,7 @@
 
     fn ready(&self) -> admin::Reply {
         let revision = self.targets.catalogue().revision;
-        let ready = revision > Revision::default() && self.stopping.is_none();
+        let ready = revision > Revision::default() && self.stopping_since.is_none();
         let json =
             serde_json::json!({ "ready": ready, "era": revision.era, "revision": revision.number })
                 .to_string();
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -48,7 +48,7 @@
         match event {
             server::Event::Request(it) => self.request(cx, *it),
             server::Event::Gone(key) => match self.exchanges.get(&key).copied() {
-                Some(id) => self.event(cx, id, 0, Event::CallerGone),
+                Some(id) => self.handle_event(cx, id, 0, Event::CallerGone),
                 // The answer was whole; only its delivery failed.
                 None => self.metrics.refused(Refusal::CallerGone),
             },
@@ -183,7 +183,7 @@
 
     fn admit(&mut self, now: Millis, run: &Run) -> Result<Admitted, Refusal> {
         let wait = self.settings.stop_wait;
-        if self.stopping.is_some_and(|since| now >= since + wait) {
+        if self.stopping_since.is_some_and(|since| now >= since + wait) {
             return Err(Refusal::Stopping);
         }
         let catalogue = self.targets.catalogue().clone();
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -42,7 +42,7 @@
             Err(e) => {
                 slog::warn!(self.log, "request cannot be passed on"; "id" => &open.run.label,
                     "error" => %e);
-                self.event(cx, attempt.request, 0, Event::Refused(Refusal::BadHeader));
+                self.handle_event(cx, attempt.request, 0, Event::Refused(Refusal::BadHeader));
                 return;
             }
         };
@@ -66,7 +66,7 @@
                 let offset = carried.offset;
                 carried.offset += data.len() as u64;
                 let (id, attempt) = (carried.request, carried.attempt);
-                self.event(cx, id, attempt, Event::Chunk { offset, data });
+                self.handle_event(cx, id, attempt, Event::Chunk { offset, data });
             }
             client::Event::End { reusable, rest } => {
                 let now = clock::now();
@@ -80,7 +80,7 @@
                 if let Some(it) = carried {
                     self.left(it.request, key);
                     let done = Event::Done { length: it.offset };
-                    self.event(cx, it.request, it.attempt, done);
+                    self.handle_event(cx, it.request, it.attempt, done);
                 }
             }
             client::Event::Closed { cause, sent } => self.direct_closed(cx, key, &cause, sent),
@@ -156,7 +156,7 @@
                 }
                 let fields = answer::forward(head.headers());
                 let head = Head { status: status.into(), fields, replayed: false };
-                self.event(cx, carried.request, carried.attempt, Event::Head(head));
+                self.handle_event(cx, carried.request, carried.attempt, Event::Head(head));
                 return;
             }
         };
@@ -169,7 +169,7 @@
             Event::Refused(_) => self.pool.detach(key),
             _ => self.pool.close(key),
         }
-        self.event(cx, carried.request, carried.attempt, event);
+        self.handle_event(cx, carried.request, carried.attempt, event);
     }
 
     /// A connection stands for which a request may wait: the last moment at which the
@@ -194,7 +194,7 @@
         }
         if let Some(it) = carried {
             self.left(it.request, key);
-            self.event(cx, it.request, it.attempt, Event::Unsent);
+            self.handle_event(cx, it.request, it.attempt, Event::Unsent);
         }
     }
 
@@ -229,7 +229,7 @@
             self.targets.leave_alone(&target, clock::now() + REST_AWAY);
             Event::Refused(Refusal::EngineAway)
         };
-        self.event(cx, carried.request, carried.attempt, event);
+        self.handle_event(cx, carried.request, carried.attempt, event);
     }
 
     /// Closes the connection of an attempt that nobody wants, so that the
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -122,7 +122,7 @@
         self.targets.up(clock::now(), peer, &it.name, it.incarnation);
         slog::info!(self.log, "target up"; "target" => &it.name);
         for id in self.requests_at(&it.name) {
-            self.event(cx, id, 0, Event::LinkUp(it.incarnation));
+            self.handle_event(cx, id, 0, Event::LinkUp(it.incarnation));
         }
     }
 
@@ -153,7 +153,7 @@
         };
         slog::info!(self.log, "target down"; "target" => &name);
         for id in self.requests_at(&name) {
-            self.event(cx, id, 0, Event::LinkDown);
+            self.handle_event(cx, id, 0, Event::LinkDown);
         }
     }
 
@@ -224,7 +224,7 @@
         slog::warn!(self.log, "target crawls"; "target" => target, "requests" => ids.len(),
             "moved" => moved);
         for id in ids.into_iter().filter(|_| moved) {
-            self.event(cx, id, 0, Event::TargetDegraded);
+            self.handle_event(cx, id, 0, Event::TargetDegraded);
         }
     }
 
@@ -243,7 +243,7 @@
             }
             _ => {}
         }
-        self.event(cx, attempt.request, attempt.number, event);
+        self.handle_event(cx, attempt.request, attempt.number, event);
     }
 }
 
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -55,7 +55,7 @@
 /// The actor.
 pub struct Router {
     pub(crate) settings: Settings,
-    pub(crate) file: PathBuf,
+    pub(crate) settings_file: PathBuf,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) mesh: ActorOwn<Mesh>,
@@ -78,7 +78,7 @@
     pub(crate) unread: Unread,
     pub(crate) rng: StdRng,
     pub(crate) server: ActorOwn<Server>,
-    pub(crate) stopping: Option<Millis>,
+    pub(crate) stopping_since: Option<Millis>,
     /// Notices that this process did not run for a while.
     pub(crate) sleep: clock::Sleep,
     /// The last answer is written and the process about to end.
@@ -89,7 +89,7 @@
     /// Starts with no configuration and no connections.
     pub fn init(
         cx: CX![],
-        (settings, file): (Settings, PathBuf),
+        (settings, settings_file): (Settings, PathBuf),
         log: Logger,
         metrics: Arc<Metrics>,
         mesh: ActorOwn<Mesh>,
@@ -119,11 +119,11 @@
             turns: Turns::default(),
             unread: Unread::default(),
             rng: StdRng::seed_from_u64(rand::random()),
-            stopping: None,
+            stopping_since: None,
             sleep: clock::Sleep::default(),
             ending: false,
             settings,
-            file,
+            settings_file,
             log,
             metrics,
             mesh,
@@ -153,7 +153,7 @@
         };
         if now >= open.flight.request().deadline {
             // It waited while this process slept.
-            self.event(cx, id, 0, Event::Tick { heard: now });
+            self.handle_event(cx, id, 0, Event::Tick { heard: now });
             return;
         }
         if let Some(name) = open.counted_target.take() {
@@ -181,13 +181,13 @@
         open.waiting_since = None;
         match choice {
             Some(choice) => self.send(cx, now, id, &choice),
-            None => self.no_target(cx, now, id),
+            None => self.handle_no_target(cx, now, id),
         }
     }
 
     /// A request has no target now: it waits where that is of use, and is
     /// refused at once where it is not.
-    fn no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
+    fn handle_no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
         // A report may have come since the last tick.
         self.targets.watch_groups(now);
         let opens_soon = self.should_wait_for_group(now, id);
@@ -204,7 +204,7 @@
         }
         if rested.is_some() {
             let actions = open.flight.refuse(Refusal::TargetsRest);
-            self.act(cx, id, actions);
+            self.apply_actions(cx, id, actions);
             return;
         }
         if opens_soon {
@@ -219,7 +219,7 @@
             (None, false) => Refusal::NoTarget,
         };
         let actions = open.flight.refuse(reason);
-        self.act(cx, id, actions);
+        self.apply_actions(cx, id, actions);
     }
 
     /// Whether a request that has no target had better wait for its group.
@@ -298,7 +298,7 @@
 
     // Events.
 
-    pub(crate) fn event(&mut self, cx: CX![], id: RequestId, number: u32, event: Event) {
+    pub(crate) fn handle_event(&mut self, cx: CX![], id: RequestId, number: u32, event: Event) {
         let Some(open) = self.open.get_mut(&id) else {
             self.metrics.ignored(Ignored::LateAnswer);
             return;
@@ -306,19 +306,19 @@
         let mut budget = self.budgets.get_mut(&open.served);
         let mut spend = || budget.as_mut().is_some_and(|it| it.spend());
         let actions = open.flight.handle_event(clock::now(), number, event, &mut spend);
-        self.act(cx, id, actions);
+        self.apply_actions(cx, id, actions);
     }
 
-    pub(crate) fn act(&mut self, cx: CX![], id: RequestId, actions: Vec<Action>) {
+    pub(crate) fn apply_actions(&mut self, cx: CX![], id: RequestId, actions: Vec<Action>) {
         for action in actions {
-            self.act_one(cx, id, action);
+            self.apply_action(cx, id, action);
         }
         if self.open.get(&id).is_some_and(|it| it.flight.is_ended()) {
-            self.close(id);
+            self.close_request(id);
         }
     }
 
-    fn act_one(&mut self, cx: CX![], id: RequestId, action: Action) {
+    fn apply_action(&mut self, cx: CX![], id: RequestId, action: Action) {
         let now = clock::now();
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -331,7 +331,7 @@
                     attempt: attempt.number,
                     offset: 0,
                 });
-                self.to_target(id, probe);
+                self.send_to_agent(id, probe);
             }
             Action::Cancel(attempt) => self.cancel(id, attempt),
             Action::Head(head) => {
@@ -380,7 +380,7 @@
     }
 
     /// When a caller may come back that is refused while all that could serve it rest.
-    fn set_return(&mut self, now: Millis, id: RequestId) {
+    fn set_retry_after(&mut self, now: Millis, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else { return };
         if let Some(until) = self.targets.rested(now, &open.served) {
             let spread = self.rng.random_range(0..COME_BACK_SPREAD);
@@ -389,7 +389,7 @@
     }
 
     fn fail(&mut self, now: Millis, id: RequestId, failure: Failure) {
-        self.set_return(now, id);
+        self.set_retry_after(now, id);
         let Some(open) = self.open.get(&id) else { return };
         self.metrics.refused(failure.reason);
         slog::warn!(self.log, "failed"; "id" => &open.run.label,
@@ -418,17 +418,17 @@
             request: convert::request_bytes(attempt.request),
             attempt: attempt.number,
         });
-        self.to_target(id, cancel);
+        self.send_to_agent(id, cancel);
     }
 
-    fn to_target(&self, id: RequestId, body: Body) {
+    fn send_to_agent(&self, id: RequestId, body: Body) {
         let target = self.open.get(&id).and_then(|it| it.flight.target());
         if let Some(peer) = target.and_then(|it| self.targets.link(it)) {
             call!([self.mesh], send(peer, body));
         }
     }
 
-    fn close(&mut self, id: RequestId) {
+    fn close_request(&mut self, id: RequestId) {
         let Some(open) = self.open.remove(&id) else {
             return;
         };
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -56,7 +56,7 @@
         slog::info!(self.log, "no turn"; "id" => &open.run.label, "reason" => reason.label(),
             "room" => ?room, "turn" => wait, "targets" => counts.listed, "usable" => counts.usable);
         let actions = open.flight.refuse(reason);
-        self.act(cx, id, actions);
+        self.apply_actions(cx, id, actions);
     }
 
     /// Begins those streams that wait and for which there is room now, and
--- a/crates/sablepass-entry/src/stops.rs
+++ b/crates/sablepass-entry/src/stops.rs
@@ -28,14 +28,14 @@
     /// Takes the settings of routing and retries as the file has them now.
     /// Addresses and names stay as they were when the process started.
     fn reload(&mut self) {
-        let fresh: Settings = match settings::open(&self.file) {
+        let fresh: Settings = match settings::open(&self.settings_file) {
             Ok(it) => it,
             Err(e) => {
                 slog::warn!(self.log, "settings not reloaded"; "error" => %e);
                 return;
             }
         };
-        slog::info!(self.log, "settings reloaded"; "file" => %self.file.display());
+        slog::info!(self.log, "settings reloaded"; "file" => %self.settings_file.display());
         self.options = openai::Options::from(&fresh);
         self.settings = Settings {
             node: self.settings.node.clone(),
@@ -51,16 +51,16 @@
     /// Stops taking work; the process ends when its last answer is written.
     fn stop(&mut self, cx: CX![]) {
         let now = clock::now();
-        if self.stopping.is_none() {
+        if self.stopping_since.is_none() {
             slog::info!(self.log, "stopping"; "requests" => self.open.len());
-            self.stopping = Some(now);
+            self.stopping_since = Some(now);
             call!([self.server], drain());
         }
         self.check_stop(cx, now);
     }
 
     pub(crate) fn check_stop(&mut self, cx: CX![], now: Millis) {
-        let Some(since) = self.stopping else { return };
+        let Some(since) = self.stopping_since else { return };
         let waits = now < since + self.settings.stop_wait;
         if self.ending || waits || !self.open.is_empty() {
             return;
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -257,7 +257,7 @@
         let copies: Vec<RequestId> = copies.map(|(id, _)| *id).collect();
         for id in copies {
             self.set_comeback(now, id);
-            self.event(cx, id, 0, Event::EndsTargets);
+            self.handle_event(cx, id, 0, Event::EndsTargets);
         }
         let Some(held) = self.watch.held(now) else { return };
         let body = held.body();
@@ -306,7 +306,7 @@
         slog::warn!(self.log, "held back"; "id" => &open.run.label,
             "fingerprint" => %open.fingerprint(), "for" => open.retry_after);
         let actions = open.flight.refuse(Refusal::EndsTargets);
-        self.act(cx, id, actions);
+        self.apply_actions(cx, id, actions);
         true
     }
 
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -83,14 +83,14 @@
         let now = clock::now();
         let quiet = open.flight.target().is_some_and(|it| self.targets.is_quiet(it));
         if quiet && open.flight.is_silent(now) {
-            self.event(cx, id, 0, Event::TargetUnresponsive);
+            self.handle_event(cx, id, 0, Event::TargetUnresponsive);
         }
         let Some(open) = self.open.get(&id) else {
             return;
         };
         let heard = open.flight.target().map_or(0, |it| self.targets.last_alive(it));
         if open.flight.is_due(now, heard) {
-            self.event(cx, id, 0, Event::Tick { heard });
+            self.handle_event(cx, id, 0, Event::Tick { heard });
         }
     }
 }
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -195,7 +195,7 @@
             "limits" => rate, "next" => next, "asked" => open.turn_requested);
         open.retry_after = Some(next.saturating_add(spread));
         let actions = open.flight.refuse(Refusal::TargetsLimited);
-        self.act(cx, id, actions);
+        self.apply_actions(cx, id, actions);
     }
 
     /// Goes on with a request that waits for its turn, once that has come.
