--- a/crates/sablepass-entry/src/call.rs
+++ b/crates/sablepass-entry/src/call.rs
@@ -9,7 +9,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub enum Asks {
+pub enum Selector {
     /// A model or a service by name, qualified or not.
     Named(Kind, String),
     /// Whatever the routes say of its host and path.
@@ -33,7 +33,7 @@
     /// The caller's key.
     pub key: Option<String>,
     /// What it asks for.
-    pub asks: Asks,
+    pub selector: Selector,
     /// When it is no longer wanted.
     pub deadline: Millis,
     /// Priority asked for.
@@ -41,9 +41,9 @@
     /// It must not run more than once.
     pub unsafe_repeat: bool,
     /// Idempotency key.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// When the caller made that key.
-    pub issued: Option<Millis>,
+    pub key_issued_at: Option<Millis>,
     /// Whether the answer is streamed.
     pub stream: bool,
     /// It goes on after what its caller got of an answer that broke off.
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -20,7 +20,7 @@
 use sablepass_edge::{clock, server};
 use stakker::CX;
 
-use crate::call::{Asks, Call, Run};
+use crate::call::{Call, Run, Selector};
 use crate::open::OpenRequest;
 use crate::openai;
 use crate::router::Router;
@@ -127,7 +127,7 @@
         run: Run,
         it: Admitted,
     ) -> OpenRequest {
-        let key = run.idempotency.as_ref().filter(|_| run.unsafe_repeat);
+        let key = run.idempotency_key.as_ref().filter(|_| run.unsafe_repeat);
         let key = key.map(|text| Key { customer: it.customer.clone(), text: text.clone() });
         let request = self.flight_request(&run, it.route.as_deref(), key.is_some());
         let step = Step::Admitted { customer: it.customer.clone(), serves: it.served.1.clone() };
@@ -190,9 +190,9 @@
         if catalogue.revision == Revision::default() {
             return Err(Refusal::NoConfiguration);
         }
-        match &run.asks {
-            Asks::Named(kind, name) => self.admit_named(now, run, &catalogue, *kind, name),
-            Asks::Route { host, path } => {
+        match &run.selector {
+            Selector::Named(kind, name) => self.admit_named(now, run, &catalogue, *kind, name),
+            Selector::Route { host, path } => {
                 let route = catalogue.routes.find(host, path).ok_or(Refusal::UnknownRoute)?;
                 self.admit_route(now, run, &catalogue, route)
             }
--- a/crates/sablepass-entry/src/openai.rs
+++ b/crates/sablepass-entry/src/openai.rs
@@ -15,7 +15,7 @@
 use sablepass_edge::server::{Incoming, Part, Reply};
 use serde::{Deserialize, Serialize};
 
-use crate::call::{self, Asks, Call, Run};
+use crate::call::{self, Call, Run, Selector};
 use crate::dialect::{self, Refused};
 use crate::settings::Settings;
 
@@ -91,8 +91,8 @@
     if matches!(path, Path::Models) {
         return Ok(Call::Models { key, reply: it.reply });
     }
-    let idempotency = text(fields, "idempotency-key").map(str::to_owned);
-    if idempotency.as_ref().is_some_and(|it| it.is_empty() || it.len() > KEY_MOST) {
+    let idempotency_key = text(fields, "idempotency-key").map(str::to_owned);
+    if idempotency_key.as_ref().is_some_and(|it| it.is_empty() || it.len() > KEY_MOST) {
         return Err(Refusal::BadHeader);
     }
     let mut run = Run {
@@ -100,12 +100,12 @@
         label: id.to_string(),
         arrived,
         key: Some(key),
-        asks: Asks::Named(Kind::Model, String::new()),
+        selector: Selector::Named(Kind::Model, String::new()),
         deadline: arrived + parse_deadline(options, fields)?,
         priority: parse_priority(fields)?,
         unsafe_repeat: parse_unsafe(fields)?,
-        idempotency,
-        issued: parse_number(fields, "x-sablepass-key-issued")?,
+        idempotency_key,
+        key_issued_at: parse_number(fields, "x-sablepass-key-issued")?,
         resumed: false,
         stream: false,
         prefix: None,
@@ -116,7 +116,7 @@
     };
     match path {
         Path::Service { name, path } => {
-            run.asks = Asks::Named(Kind::Service, name);
+            run.selector = Selector::Named(Kind::Service, name);
             run.path = path;
         }
         Path::Chat => parse_completion(&mut run, "/v1/chat/completions", options.prefix)?,
@@ -195,7 +195,7 @@
         (None, Some(prompt)) => plain_text(&prompt),
         (None, None) => return Err(Refusal::BadBody),
     };
-    run.asks = Asks::Named(Kind::Model, it.model);
+    run.selector = Selector::Named(Kind::Model, it.model);
     run.stream = it.stream;
     run.prefix = Some(text.chars().take(prefix).collect());
     run.path = path.to_owned();
--- a/crates/sablepass-entry/src/routes.rs
+++ b/crates/sablepass-entry/src/routes.rs
@@ -13,7 +13,7 @@
 use sablepass_edge::server::Incoming;
 use sablepass_platform::request;
 
-use crate::call::{self, Asks, Call, Run};
+use crate::call::{self, Call, Run, Selector};
 use crate::dialect::{self, Refused};
 use crate::openai::Options;
 
@@ -41,18 +41,18 @@
         }
     };
     let asked = request::decode(head.headers());
-    let asks = Asks::Route { host: asked.host, path: head.uri().path().to_owned() };
+    let selector = Selector::Route { host: asked.host, path: head.uri().path().to_owned() };
     Ok(Call::Run(Box::new(Run {
         id: call::new_id(),
         label: asked.id,
         arrived,
         key: asked.key,
-        asks,
+        selector,
         deadline: arrived + asked.patience.unwrap_or(options.deadline),
         priority: None,
         unsafe_repeat: true,
-        idempotency: None,
-        issued: None,
+        idempotency_key: None,
+        key_issued_at: None,
         stream: false,
         resumed: asked.resumed,
         prefix: None,
