--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -50,7 +50,7 @@
                 })
             })
             .collect();
-        let requests = self.open.len();
+        let requests = self.requests.len();
         let connections = self.pool.len();
         let entries = self.targets.sharers().count();
         let suspects = self.watch.status(now);
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -59,7 +59,7 @@
 
     /// Has the target's answer wait while the caller does not read.
     fn pause(&self, key: server::ExchangeKey, paused: bool) {
-        let open = self.exchanges.get(&key).and_then(|id| self.open.get(id));
+        let open = self.exchanges.get(&key).and_then(|id| self.requests.get(id));
         if let Some(connection) = open.and_then(|it| it.connection) {
             self.pool.pause(connection, paused);
         }
@@ -99,7 +99,7 @@
         self.metrics.refused(reason);
         let revision = self.targets.catalogue().revision;
         slog::warn!(self.log, "refused"; "id" => label, "reason" => reason.label(),
-            "revision" => revision.number, "era" => revision.era, "held" => self.open.len());
+            "revision" => revision.number, "era" => revision.era, "held" => self.requests.len());
         self.settings.dialect.fail(reply, label, Failure { reason, ran: Ran::NotRun }, None);
     }
 
@@ -112,8 +112,8 @@
                 self.metrics.requests.inc();
                 self.budget(&open.served).earn();
                 self.exchanges.insert(exchange, id);
-                self.open.insert(id, open);
-                self.metrics.in_flight.set(self.open.len() as i64);
+                self.requests.insert(id, open);
+                self.metrics.in_flight.set(self.requests.len() as i64);
                 self.dispatch(cx, id);
             }
             Err(reason) => self.refuse(&run.reply, &run.label, reason),
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -36,7 +36,7 @@
         attempt: AttemptId,
         to: Destination<'_>,
     ) {
-        let Some(open) = self.open.get_mut(&attempt.request) else { return };
+        let Some(open) = self.requests.get_mut(&attempt.request) else { return };
         let head = match direct_head(now, open, to.target) {
             Ok(it) => it,
             Err(e) => {
@@ -88,7 +88,7 @@
     }
 
     fn left(&mut self, id: RequestId, key: ConnectionKey) {
-        if let Some(open) = self.open.get_mut(&id)
+        if let Some(open) = self.requests.get_mut(&id)
             && open.connection == Some(key)
         {
             open.connection = None;
@@ -180,7 +180,8 @@
         }
         let now = clock::now();
         let carried = self.pool.in_flight(key).copied();
-        let sent = carried.and_then(|it| self.open.get(&it.request)).map_or(now, |it| it.sent_at);
+        let sent =
+            carried.and_then(|it| self.requests.get(&it.request)).map_or(now, |it| it.sent_at);
         let admits = self.pool.target(key).is_some_and(|it| self.targets.admits(now, it, sent));
         if admits {
             self.pool.send_waiting(key);
@@ -214,7 +215,7 @@
         }
         let Some(carried) = carried else { return };
         self.left(carried.request, key);
-        if let Some(open) = self.open.get(&carried.request) {
+        if let Some(open) = self.requests.get(&carried.request) {
             slog::info!(self.log, "target broke off"; "id" => &open.run.label, "target" => &target,
                 "attempt" => carried.attempt, "sent" => sent, "bytes" => carried.offset,
                 "fingerprint" => %open.fingerprint(), "cause" => %cause);
@@ -235,7 +236,7 @@
     /// Closes the connection of an attempt that nobody wants, so that the
     /// target drops it.
     pub(crate) fn cancel_direct(&mut self, id: RequestId) -> bool {
-        let connection = self.open.get_mut(&id).and_then(|it| it.connection.take());
+        let connection = self.requests.get_mut(&id).and_then(|it| it.connection.take());
         let Some(key) = connection else { return false };
         self.pool.close(key);
         true
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -59,7 +59,7 @@
             carried.request,
             Step::TurnedAway { target: it.name.to_owned(), rest },
         );
-        let label = self.open.get(&carried.request).map(|it| it.run.label.as_str());
+        let label = self.requests.get(&carried.request).map(|it| it.run.label.as_str());
         slog::info!(self.log, "turned away"; "id" => label, "target" => it.name, "born" => it.started_at,
             "attempt" => carried.attempt, "status" => status, "not_run" => meta.proof == Proof::NotRun,
             "asked" => asked, "rest" => rest, "begins" => begins, "load" => ?meta.load);
@@ -84,7 +84,7 @@
         if named.is_some() {
             self.metrics.limits_named.with_label_values(&["read"]).inc();
         }
-        let open = self.open.get(&carried.request);
+        let open = self.requests.get(&carried.request);
         let open = open.filter(|it| it.flight.attempt().number == carried.attempt);
         let sent = open.map_or(0, |it| it.sent_at);
         let label = open.map(|it| it.run.label.clone());
@@ -160,7 +160,7 @@
         carried: InFlightAttempt,
         it: TargetIncarnation<'_>,
     ) {
-        let Some(open) = self.open.get(&carried.request) else { return };
+        let Some(open) = self.requests.get(&carried.request) else { return };
         if self.targets.left_before(it, open.sent_at) {
             self.metrics.sent_to_leaving.inc();
             slog::error!(self.log, "sent to a target that leaves"; "id" => &open.run.label,
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -159,7 +159,7 @@
 
     fn requests_at(&self, target: &str) -> Vec<RequestId> {
         let there = |it: &OpenRequest| it.flight.target() == Some(target);
-        self.open.iter().filter(|(_, it)| there(it)).map(|(id, _)| *id).collect()
+        self.requests.iter().filter(|(_, it)| there(it)).map(|(id, _)| *id).collect()
     }
 
     fn message(&mut self, cx: CX![], peer: PeerKey, body: Body) {
@@ -216,7 +216,7 @@
     /// on there: while it runs, all ranks of the group are as slow.
     fn relieve(&mut self, cx: CX![], target: &str) {
         let there = |it: &&OpenRequest| it.flight.target() == Some(target);
-        let Some(served) = self.open.values().find(there).map(|it| it.served.clone()) else {
+        let Some(served) = self.requests.values().find(there).map(|it| it.served.clone()) else {
             return;
         };
         let ids = self.requests_at(target);
@@ -229,7 +229,7 @@
     }
 
     fn answer(&mut self, cx: CX![], from: &str, attempt: AttemptId, event: Event) {
-        let open = self.open.get(&attempt.request);
+        let open = self.requests.get(&attempt.request);
         let expected = open.is_some_and(|it| it.flight.target() == Some(from));
         if !expected {
             self.metrics.ignored(Ignored::LateAnswer);
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -64,7 +64,7 @@
     pub(crate) options: openai::Options,
     /// A retry budget a service.
     pub(crate) budgets: HashMap<Served, Budget>,
-    pub(crate) open: HashMap<RequestId, OpenRequest>,
+    pub(crate) requests: HashMap<RequestId, OpenRequest>,
     pub(crate) exchanges: HashMap<ExchangeKey, RequestId>,
     /// Streams that wait to begin, by service.
     pub(crate) starts: HashMap<Served, StartQueue>,
@@ -110,7 +110,7 @@
             admission: Admission::open(settings.admit()),
             options: openai::Options::from(&settings),
             budgets: HashMap::new(),
-            open: HashMap::new(),
+            requests: HashMap::new(),
             exchanges: HashMap::new(),
             starts: HashMap::new(),
             pool: Pool::open(fwd_to!([cx], direct_event() as ((ConnectionKey, client::Event)))),
@@ -148,7 +148,7 @@
         if self.holds_back(cx, now, id) {
             return;
         }
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         if now >= open.flight.request().deadline {
@@ -194,7 +194,7 @@
         if self.seek_turn(cx, now, id) {
             return;
         }
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         let rested = self.targets.rested(now, &open.served);
@@ -224,7 +224,7 @@
 
     /// Whether a request that has no target had better wait for its group.
     fn should_wait_for_group(&self, now: Millis, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id) else { return false };
+        let Some(open) = self.requests.get(&id) else { return false };
         if !open.may_wait_for_group(now)
             || open.owner.is_some()
             || !self.targets.opens_soon(now, &open.served)
@@ -233,11 +233,11 @@
         }
         let same = |it: &&OpenRequest| it.waiting_since.is_some() && it.served == open.served;
         let most = self.targets.whole(&open.served).capacity * FORM_PART;
-        (self.open.values().filter(same).count() as f64) < most
+        (self.requests.values().filter(same).count() as f64) < most
     }
 
     fn send(&mut self, cx: CX![], now: Millis, id: RequestId, choice: &Choice) {
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         let incarnation = match choice.via {
@@ -256,7 +256,7 @@
         if !self.watch.suspects.is_empty() {
             self.note_suspect(now, id);
         }
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
         self.targets.sent(&choice.name);
         if attempt.number == 1 {
             open.started = now;
@@ -299,7 +299,7 @@
     // Events.
 
     pub(crate) fn handle_event(&mut self, cx: CX![], id: RequestId, number: u32, event: Event) {
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             self.metrics.ignored(Ignored::LateAnswer);
             return;
         };
@@ -313,14 +313,14 @@
         for action in actions {
             self.apply_action(cx, id, action);
         }
-        if self.open.get(&id).is_some_and(|it| it.flight.is_ended()) {
+        if self.requests.get(&id).is_some_and(|it| it.flight.is_ended()) {
             self.close_request(id);
         }
     }
 
     fn apply_action(&mut self, cx: CX![], id: RequestId, action: Action) {
         let now = clock::now();
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         match action {
@@ -381,7 +381,7 @@
 
     /// When a caller may come back that is refused while all that could serve it rest.
     fn set_retry_after(&mut self, now: Millis, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
         if let Some(until) = self.targets.rested(now, &open.served) {
             let spread = self.rng.random_range(0..COME_BACK_SPREAD);
             open.retry_after.get_or_insert((until - now).saturating_add(spread));
@@ -390,7 +390,7 @@
 
     fn fail(&mut self, now: Millis, id: RequestId, failure: Failure) {
         self.set_retry_after(now, id);
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.requests.get(&id) else { return };
         self.metrics.refused(failure.reason);
         slog::warn!(self.log, "failed"; "id" => &open.run.label,
             "reason" => failure.reason.label(), "ran" => failure.ran.label(),
@@ -422,14 +422,14 @@
     }
 
     fn send_to_agent(&self, id: RequestId, body: Body) {
-        let target = self.open.get(&id).and_then(|it| it.flight.target());
+        let target = self.requests.get(&id).and_then(|it| it.flight.target());
         if let Some(peer) = target.and_then(|it| self.targets.link(it)) {
             call!([self.mesh], send(peer, body));
         }
     }
 
     fn close_request(&mut self, id: RequestId) {
-        let Some(open) = self.open.remove(&id) else {
+        let Some(open) = self.requests.remove(&id) else {
             return;
         };
         self.admission.release(&open.ticket);
@@ -437,7 +437,7 @@
         if let Some(name) = open.counted_target {
             self.targets.ended(&name);
         }
-        self.metrics.in_flight.set(self.open.len() as i64);
+        self.metrics.in_flight.set(self.requests.len() as i64);
     }
 }
 
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -16,7 +16,7 @@
     /// Lets a stream wait or refuses it, if passes would be too long with it or
     /// its group is closed.
     pub(crate) fn defers(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id) else { return true };
+        let Some(open) = self.requests.get(&id) else { return true };
         let first = open.flight.attempt().number == 0;
         let Some(route) = open.route.as_ref().filter(|_| first) else { return false };
         let Some(pause) = route.pause else { return false };
@@ -35,7 +35,7 @@
         match turn {
             StartDecision::Now => false,
             StartDecision::Wait(turn) => {
-                let Some(open) = self.open.get(&id) else { return true };
+                let Some(open) = self.requests.get(&id) else { return true };
                 slog::info!(self.log, "waits to begin"; "id" => &open.run.label, "turn" => turn,
                     "room" => ?room, "resumed" => resumed);
                 true
@@ -48,7 +48,7 @@
     }
 
     fn refuse_until(&mut self, cx: CX![], id: RequestId, wait: Option<Millis>, room: Room) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
         open.retry_after = wait;
         let open_now = matches!(room, Room::Open { .. } | Room::Free);
         let reason = if open_now { Refusal::Crowded } else { Refusal::GroupClosed };
@@ -64,7 +64,7 @@
     pub(crate) fn begin_waiting(&mut self, cx: CX![]) {
         let services: Vec<Served> = self.starts.keys().cloned().collect();
         for served in services {
-            let open = &self.open;
+            let open = &self.requests;
             let Some(starts) = self.starts.get_mut(&served) else { continue };
             starts.retain(|it| open.contains_key(it));
             self.begin_some(cx, &served);
@@ -89,7 +89,7 @@
     fn front_room(&self, served: &Served) -> Option<Room> {
         let now = clock::now();
         let starts = self.starts.get(served)?;
-        let pause = self.open.get(&starts.front(now)?.id)?.route.as_ref()?.pause?;
+        let pause = self.requests.get(&starts.front(now)?.id)?.route.as_ref()?.pause?;
         Some(self.targets.begins(now, served, pause as f64))
     }
 }
--- a/crates/sablepass-entry/src/stops.rs
+++ b/crates/sablepass-entry/src/stops.rs
@@ -52,7 +52,7 @@
     fn stop(&mut self, cx: CX![]) {
         let now = clock::now();
         if self.stopping_since.is_none() {
-            slog::info!(self.log, "stopping"; "requests" => self.open.len());
+            slog::info!(self.log, "stopping"; "requests" => self.requests.len());
             self.stopping_since = Some(now);
             call!([self.server], drain());
         }
@@ -62,7 +62,7 @@
     pub(crate) fn check_stop(&mut self, cx: CX![], now: Millis) {
         let Some(since) = self.stopping_since else { return };
         let waits = now < since + self.settings.stop_wait;
-        if self.ending || waits || !self.open.is_empty() {
+        if self.ending || waits || !self.requests.is_empty() {
             return;
         }
         self.ending = true;
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -146,7 +146,7 @@
     /// Records that a target broke off an attempt. It may have ended.
     pub(crate) fn broke_off(&mut self, cx: CX![], id: RequestId, target: &str) {
         let now = clock::now();
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.requests.get(&id) else { return };
         if self.targets.is_leaving(now, target) {
             // Its end is planned.
             return;
@@ -253,7 +253,7 @@
     /// Gives up the copies of a request that are under way, and has agents
     /// remember it for entries that start anew.
     fn hold_back(&mut self, cx: CX![], now: Millis, it: Fingerprint) {
-        let copies = self.open.iter().filter(|(_, open)| open.fingerprint() == it);
+        let copies = self.requests.iter().filter(|(_, open)| open.fingerprint() == it);
         let copies: Vec<RequestId> = copies.map(|(id, _)| *id).collect();
         for id in copies {
             self.set_comeback(now, id);
@@ -269,7 +269,7 @@
     /// Says when the caller of a request that is held back may come again.
     /// Returns false for one that is not.
     fn set_comeback(&mut self, now: Millis, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id) else { return false };
+        let Some(open) = self.requests.get(&id) else { return false };
         let it = open.fingerprint();
         let until = match self.watch.suspects.standing(now, it) {
             Standing::Blocked(until) => Some(until),
@@ -277,7 +277,7 @@
             Standing::Clear => None,
         };
         if let Some(until) = until
-            && let Some(open) = self.open.get_mut(&id)
+            && let Some(open) = self.requests.get_mut(&id)
         {
             open.retry_after = Some(until.saturating_sub(now));
         }
@@ -293,7 +293,7 @@
         Trial {
             expensive: self.targets.stands_together(&open.served),
             owner: several && self.targets.owns(&it.to_string()),
-            busy: several && self.open.iter().any(copy),
+            busy: several && self.requests.iter().any(copy),
         }
     }
 
@@ -302,7 +302,7 @@
         if self.watch.suspects.is_empty() || !self.set_comeback(now, id) {
             return false;
         }
-        let Some(open) = self.open.get_mut(&id) else { return false };
+        let Some(open) = self.requests.get_mut(&id) else { return false };
         slog::warn!(self.log, "held back"; "id" => &open.run.label,
             "fingerprint" => %open.fingerprint(), "for" => open.retry_after);
         let actions = open.flight.refuse(Refusal::EndsTargets);
@@ -312,7 +312,7 @@
 
     /// A line when a suspected request is sent on all the same.
     pub(crate) fn note_suspect(&self, now: Millis, id: RequestId) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.requests.get(&id) else { return };
         let it = open.fingerprint();
         if self.watch.suspects.standing(now, it) == Standing::Suspect {
             let ended = self.watch.suspects.deaths_of(it).len();
@@ -323,7 +323,7 @@
 
     /// Records that a target ran a request to its end.
     pub(crate) fn ran_whole(&mut self, id: RequestId) {
-        let Some(it) = self.open.get(&id).map(crate::open::OpenRequest::fingerprint) else {
+        let Some(it) = self.requests.get(&id).map(crate::open::OpenRequest::fingerprint) else {
             return;
         };
         if self.watch.suspects.record_completed(clock::now(), it) {
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -19,7 +19,7 @@
     pub(crate) fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
         if let Some(slept) = self.sleep.look(now) {
-            slog::warn!(self.log, "slept"; "for" => slept, "requests" => self.open.len());
+            slog::warn!(self.log, "slept"; "for" => slept, "requests" => self.requests.len());
             self.metrics.sleeps.inc();
             self.targets.slept(now);
         }
@@ -37,7 +37,7 @@
         }
         self.begin_waiting(cx);
         self.tell_suspects();
-        let ids: Vec<RequestId> = self.open.keys().copied().collect();
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             self.tick_one(cx, id);
         }
@@ -64,7 +64,7 @@
     }
 
     fn tick_one(&mut self, cx: CX![], id: RequestId) {
-        let Some(open) = self.open.get(&id) else {
+        let Some(open) = self.requests.get(&id) else {
             return;
         };
         if open.slot.is_some() {
@@ -85,7 +85,7 @@
         if quiet && open.flight.is_silent(now) {
             self.handle_event(cx, id, 0, Event::TargetUnresponsive);
         }
-        let Some(open) = self.open.get(&id) else {
+        let Some(open) = self.requests.get(&id) else {
             return;
         };
         let heard = open.flight.target().map_or(0, |it| self.targets.last_alive(it));
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -91,7 +91,7 @@
     /// Finds a turn for a request whose targets all get as many as they take now, or
     /// refuses it. False if that is not why it has no target, or if it can wait for another.
     pub(crate) fn seek_turn(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id) else { return true };
+        let Some(open) = self.requests.get(&id) else { return true };
         if open.owner.is_some() {
             return false;
         }
@@ -103,7 +103,7 @@
         if self.take_turn(now, id, &limited, most) || self.ask_turn(now, id, &limited, most) {
             return true;
         }
-        if self.open.get(&id).is_some_and(|it| it.head_sent) {
+        if self.requests.get(&id).is_some_and(|it| it.head_sent) {
             return false;
         }
         self.metrics.turns.with_label_values(&["refused"]).inc();
@@ -113,7 +113,7 @@
 
     /// How long a request may wait for its turn and be answered in time.
     fn useful_wait(&self, now: Millis, id: RequestId) -> Millis {
-        let Some(open) = self.open.get(&id) else { return 0 };
+        let Some(open) = self.requests.get(&id) else { return 0 };
         let deadline = open.flight.request().deadline;
         if open.head_sent {
             return deadline.min(open.delivered_at + RESUME_WAIT).saturating_sub(now);
@@ -140,7 +140,7 @@
     }
 
     fn give_turn(&mut self, now: Millis, id: RequestId, it: Given) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
         let wait = it.at.saturating_sub(now);
         slog::info!(self.log, "has its turn"; "id" => &open.run.label, "target" => &it.target,
             "wait" => wait);
@@ -152,7 +152,7 @@
     /// Asks an entry that holds the limit of one of these targets, unless it is known
     /// that none has a turn in time.
     fn ask_turn(&mut self, now: Millis, id: RequestId, limited: &[String], most: Millis) -> bool {
-        if self.open.get(&id).is_none_or(|it| it.turn_requested) {
+        if self.requests.get(&id).is_none_or(|it| it.turn_requested) {
             return false;
         }
         let useful = |target: &String, peer: &PeerKey| {
@@ -170,7 +170,7 @@
         let (target, peer) = asked[self.rng.random_range(0..asked.len())];
         let life = TargetIncarnation { name: target, started_at: self.targets.born(target) };
         call!([self.mesh], send(peer, turns::ask(Ask { target: life, request: id, most })));
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.requests.get_mut(&id) {
             open.turn_requested = true;
             open.waiting_since = Some(now);
             open.slot = Some(Slot::Asked { target: target.clone(), peer, until: now + ANSWERS });
@@ -190,7 +190,7 @@
             |it: &String| self.targets.next_turn(now, it).or_else(|| self.turns.soonest(now, it));
         let next = limited.iter().filter_map(known).min().unwrap_or(every);
         let spread = self.rng.random_range(0..=every);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
         slog::info!(self.log, "no turn"; "id" => &open.run.label, "limited" => limited.len(),
             "limits" => rate, "next" => next, "asked" => open.turn_requested);
         open.retry_after = Some(next.saturating_add(spread));
@@ -201,7 +201,7 @@
     /// Goes on with a request that waits for its turn, once that has come.
     pub(crate) fn await_turn(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.requests.get(&id) else { return };
         let due = match &open.slot {
             Some(Slot::Given(it)) => it.at,
             Some(Slot::Asked { until, .. }) => *until,
@@ -234,7 +234,7 @@
             return;
         };
         let now = clock::now();
-        let open = self.open.get_mut(&it.request);
+        let open = self.requests.get_mut(&it.request);
         let slot = open.and_then(|it| it.slot.take_if(|it| matches!(it, Slot::Asked { .. })));
         let Some(Slot::Asked { target, peer, .. }) = slot else {
             // It was not waited for so long.
