--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -87,7 +87,7 @@
     pub(crate) fn count_entries(&mut self) {
         self.targets.count_entries(clock::now());
         let burst = self.settings.budget(self.targets.sharers()).burst;
-        self.budgets.values_mut().for_each(|it| it.set_burst(burst));
+        self.retry_budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
     pub(crate) fn forget(&mut self, cx: CX![], targets: &[String]) {
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -63,11 +63,11 @@
     pub(crate) admission: Admission,
     pub(crate) options: openai::Options,
     /// A retry budget a service.
-    pub(crate) budgets: HashMap<Served, Budget>,
+    pub(crate) retry_budgets: HashMap<Served, Budget>,
     pub(crate) requests: HashMap<RequestId, OpenRequest>,
     pub(crate) exchanges: HashMap<ExchangeKey, RequestId>,
     /// Streams that wait to begin, by service.
-    pub(crate) starts: HashMap<Served, StartQueue>,
+    pub(crate) start_queues: HashMap<Served, StartQueue>,
     pub(crate) pool: Pool,
     pub(crate) traces: Traces,
     /// Requests that end their targets.
@@ -80,9 +80,9 @@
     pub(crate) server: ActorOwn<Server>,
     pub(crate) stopping_since: Option<Millis>,
     /// Notices that this process did not run for a while.
-    pub(crate) sleep: clock::Sleep,
+    pub(crate) suspension_detector: clock::Sleep,
     /// The last answer is written and the process about to end.
-    pub(crate) ending: bool,
+    pub(crate) shutting_down: bool,
 }
 
 impl Router {
@@ -109,10 +109,10 @@
             targets: Targets::open(options, policy),
             admission: Admission::open(settings.admit()),
             options: openai::Options::from(&settings),
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             requests: HashMap::new(),
             exchanges: HashMap::new(),
-            starts: HashMap::new(),
+            start_queues: HashMap::new(),
             pool: Pool::open(fwd_to!([cx], direct_event() as ((ConnectionKey, client::Event)))),
             traces: Traces::open(settings.stories),
             watch: Watch::default(),
@@ -120,8 +120,8 @@
             unread: Unread::default(),
             rng: StdRng::seed_from_u64(rand::random()),
             stopping_since: None,
-            sleep: clock::Sleep::default(),
-            ending: false,
+            suspension_detector: clock::Sleep::default(),
+            shutting_down: false,
             settings,
             settings_file,
             log,
@@ -293,7 +293,7 @@
     pub(crate) fn budget(&mut self, served: &Served) -> &mut Budget {
         let options = self.settings.budget(self.targets.sharers());
         let open = || Budget::open(options);
-        self.budgets.entry(served.clone()).or_insert_with(open)
+        self.retry_budgets.entry(served.clone()).or_insert_with(open)
     }
 
     // Events.
@@ -303,7 +303,7 @@
             self.metrics.ignored(Ignored::LateAnswer);
             return;
         };
-        let mut budget = self.budgets.get_mut(&open.served);
+        let mut budget = self.retry_budgets.get_mut(&open.served);
         let mut spend = || budget.as_mut().is_some_and(|it| it.spend());
         let actions = open.flight.handle_event(clock::now(), number, event, &mut spend);
         self.apply_actions(cx, id, actions);
@@ -362,7 +362,7 @@
                     "objective" => open.route.as_ref().map(|it| it.objective));
                 let (served, started) = (open.served.clone(), open.started);
                 let opened = (open.run.arrived + open.time_to_first_byte).saturating_sub(started);
-                let starts = self.starts.entry(served).or_default();
+                let starts = self.start_queues.entry(served).or_default();
                 starts.record_end(now.saturating_sub(started), opened);
                 self.traces.add(now, id, Step::Answered);
                 self.ran_whole(id);
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -31,7 +31,7 @@
             self.targets.watch_groups(now);
             room = self.targets.begins(now, &served, pause as f64);
         }
-        let turn = self.starts.entry(served).or_default().request(now, &ask, room);
+        let turn = self.start_queues.entry(served).or_default().request(now, &ask, room);
         match turn {
             StartDecision::Now => false,
             StartDecision::Wait(turn) => {
@@ -62,10 +62,10 @@
     /// Begins those streams that wait and for which there is room now, and
     /// refuses those for which there will be none.
     pub(crate) fn begin_waiting(&mut self, cx: CX![]) {
-        let services: Vec<Served> = self.starts.keys().cloned().collect();
+        let services: Vec<Served> = self.start_queues.keys().cloned().collect();
         for served in services {
             let open = &self.requests;
-            let Some(starts) = self.starts.get_mut(&served) else { continue };
+            let Some(starts) = self.start_queues.get_mut(&served) else { continue };
             starts.retain(|it| open.contains_key(it));
             self.begin_some(cx, &served);
         }
@@ -73,7 +73,7 @@
 
     fn begin_some(&mut self, cx: CX![], served: &Served) {
         while let Some(room) = self.front_room(served) {
-            let Some(starts) = self.starts.get_mut(served) else { return };
+            let Some(starts) = self.start_queues.get_mut(served) else { return };
             let now = clock::now();
             if let Some(id) = starts.next(now, room) {
                 self.place(cx, id);
@@ -88,7 +88,7 @@
     /// The room for the stream of a service whose turn is next.
     fn front_room(&self, served: &Served) -> Option<Room> {
         let now = clock::now();
-        let starts = self.starts.get(served)?;
+        let starts = self.start_queues.get(served)?;
         let pause = self.requests.get(&starts.front(now)?.id)?.route.as_ref()?.pause?;
         Some(self.targets.begins(now, served, pause as f64))
     }
--- a/crates/sablepass-entry/src/stops.rs
+++ b/crates/sablepass-entry/src/stops.rs
@@ -45,7 +45,7 @@
             ..fresh
         };
         let burst = self.settings.budget(self.targets.sharers()).burst;
-        self.budgets.values_mut().for_each(|it| it.set_burst(burst));
+        self.retry_budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
     /// Stops taking work; the process ends when its last answer is written.
@@ -62,10 +62,10 @@
     pub(crate) fn check_stop(&mut self, cx: CX![], now: Millis) {
         let Some(since) = self.stopping_since else { return };
         let waits = now < since + self.settings.stop_wait;
-        if self.ending || waits || !self.requests.is_empty() {
+        if self.shutting_down || waits || !self.requests.is_empty() {
             return;
         }
-        self.ending = true;
+        self.shutting_down = true;
         call!([self.server], close());
         after!(LINGER, [cx], |this, cx| {
             slog::info!(this.log, "stopped");
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -118,7 +118,7 @@
         if open.head_sent {
             return deadline.min(open.delivered_at + RESUME_WAIT).saturating_sub(now);
         }
-        let opens = self.starts.get(&open.served).map_or(0, |it| it.time_to_first_event());
+        let opens = self.start_queues.get(&open.served).map_or(0, |it| it.time_to_first_event());
         let objective = open.route.as_ref().map_or(0, |it| it.objective);
         deadline.min(open.run.arrived + objective).saturating_sub(now + opens)
     }
