--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -133,7 +133,7 @@
         let step = Step::Admitted { customer: it.customer.clone(), serves: it.served.1.clone() };
         self.traces.add(now, run.id, step);
         OpenRequest {
-            flight: Flight::new(self.settings.flight(), request),
+            flight: Flight::new(self.settings.flight_options(), request),
             customer: it.customer,
             forwarded_customer: it.told,
             owner: key.and_then(|key| self.targets.owner(&it.served, &key)),
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -86,7 +86,7 @@
     /// Counts the entries anew, and shares the retries among as many.
     pub(crate) fn count_entries(&mut self) {
         self.targets.count_entries(clock::now());
-        let burst = self.settings.budget(self.targets.sharers()).burst;
+        let burst = self.settings.budget_options(self.targets.sharers()).burst;
         self.retry_budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -107,7 +107,7 @@
         let policy = Policy::parse(&settings.policy).unwrap_or_default();
         let mut router = Self {
             targets: Targets::open(options, policy),
-            admission: Admission::open(settings.admit()),
+            admission: Admission::open(settings.admission_options()),
             options: openai::Options::from(&settings),
             retry_budgets: HashMap::new(),
             requests: HashMap::new(),
@@ -291,7 +291,7 @@
 
     /// The retry budget of a service.
     pub(crate) fn budget(&mut self, served: &Served) -> &mut Budget {
-        let options = self.settings.budget(self.targets.sharers());
+        let options = self.settings.budget_options(self.targets.sharers());
         let open = || Budget::open(options);
         self.retry_budgets.entry(served.clone()).or_insert_with(open)
     }
--- a/crates/sablepass-entry/src/settings.rs
+++ b/crates/sablepass-entry/src/settings.rs
@@ -191,7 +191,7 @@
 
 impl Settings {
     /// Options of the request state machine.
-    pub fn flight(&self) -> flight::Options {
+    pub fn flight_options(&self) -> flight::Options {
         flight::Options {
             stall_timeout: self.stall,
             probe_timeout: self.probe,
@@ -200,12 +200,12 @@
     }
 
     /// Options of admission.
-    pub fn admit(&self) -> admit::Options {
+    pub fn admission_options(&self) -> admit::Options {
         admit::Options { limit: self.exchanges, ..admit::Options::default() }
     }
 
     /// Options of the retry budget of a service, shared with these entries.
-    pub fn budget(&self, entries: &Sharers) -> budget::Options {
+    pub fn budget_options(&self, entries: &Sharers) -> budget::Options {
         let least = if entries.is_known() { RETRY_SHARERS } else { RETRY_UNKNOWN };
         let share = |it: f64| it * RETRY_PART / entries.count().max(least) as f64;
         let burst = self.retry_slack.map_or(RETRY_BURST, share);
--- a/crates/sablepass-entry/src/stops.rs
+++ b/crates/sablepass-entry/src/stops.rs
@@ -44,7 +44,7 @@
             dialect: self.settings.dialect,
             ..fresh
         };
-        let burst = self.settings.budget(self.targets.sharers()).burst;
+        let burst = self.settings.budget_options(self.targets.sharers()).burst;
         self.retry_budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
