--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -1,8 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The actor that owns an entry's requests: it admits, chooses, sends, and
-//! does what each request's state machine says.
+//! The main actor of an entry. It owns the requests in progress, chooses their targets, sends them
+//! and carries out the actions that each request's state machine returns. `main` starts it; other
+//! modules of this crate add the parts that face callers, targets, agents and operators.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -39,20 +40,22 @@
 use crate::trace::{Step, Traces};
 use crate::turns::Turns;
 
-/// How long a request waits for a connection to the owner of its key.
+/// Maximum time that a request waits for a connection to the target that owns its idempotency key.
 const OWNER_WAIT: Millis = 2_000;
-/// How long a stream that has begun waits for a target that can go on with it.
-/// Callers give up a stream that is silent for two seconds or more.
+/// Maximum time that a started stream waits for a target that can continue it. Callers close
+/// streams that deliver nothing for two seconds or more.
 pub(crate) const RESUME_WAIT: Millis = 1_700;
-/// Over how long callers come back who were refused while all targets rest, so that
-/// they do not come as one: some tenths of a second, in which streams begin and are spread.
-const COME_BACK_SPREAD: Millis = 200;
-/// Requests that wait so, for each place of this entry's part of the service. A group
-/// opens on its first map, which is far from even, and what waited begins at once: with more,
-/// those late would make the next ones late as well.
-const FORM_PART: f64 = 0.5;
+/// Upper bound of the random addition to the retry-after time of callers that are refused while all
+/// targets are paused, so that they do not all retry at once. Streams start and spread over the
+/// targets within tenths of a second.
+const MAX_RETRY_AFTER_SPREAD: Millis = 200;
+/// Maximum number of requests that wait for a group to become ready, as a fraction of this entry's
+/// share of the service's capacity. A group starts with its first expert map, which balances the
+/// load poorly, and all waiting requests start at once: with more of them, their delays would
+/// delay the following requests as well.
+const MAX_WAITING_FRACTION: f64 = 0.5;
 
-/// The actor.
+/// The main actor of an entry.
 pub struct Router {
     pub(crate) settings: Settings,
     pub(crate) settings_file: PathBuf,
@@ -62,31 +65,32 @@
     pub(crate) targets: Targets,
     pub(crate) admission: Admission,
     pub(crate) options: openai::Options,
-    /// A retry budget a service.
+    /// Retry budget of each service.
     pub(crate) retry_budgets: HashMap<Served, Budget>,
     pub(crate) requests: HashMap<RequestId, OpenRequest>,
     pub(crate) exchanges: HashMap<ExchangeKey, RequestId>,
-    /// Streams that wait to begin, by service.
+    /// Streams that wait to be started, by service.
     pub(crate) start_queues: HashMap<Served, StartQueue>,
     pub(crate) pool: Pool,
     pub(crate) traces: Traces,
-    /// Requests that end their targets.
+    /// Requests suspected of terminating their targets.
     pub(crate) watch: Watch,
-    /// What other entries said of turns at targets with limits.
+    /// Next turns that other entries reported for targets with limits.
     pub(crate) turns: Turns,
-    /// Fields of answers that nobody reads.
+    /// Header fields of answers that this program does not interpret.
     pub(crate) unread: Unread,
     pub(crate) rng: StdRng,
     pub(crate) server: ActorOwn<Server>,
+    /// When the graceful shutdown started.
     pub(crate) stopping_since: Option<Millis>,
-    /// Notices that this process did not run for a while.
+    /// Detects that this process was suspended.
     pub(crate) suspension_detector: clock::Sleep,
-    /// The last answer is written and the process about to end.
+    /// Whether the last answer was sent and the process is about to exit.
     pub(crate) shutting_down: bool,
 }
 
 impl Router {
-    /// Starts with no configuration and no connections.
+    /// Creates the actor, without configuration and connections, and starts its periodic tick.
     pub fn init(
         cx: CX![],
         (settings, settings_file): (Settings, PathBuf),
@@ -135,6 +139,7 @@
 
     // Sending.
 
+    /// Sends a request to a target, unless it is refused as a suspect or its start is deferred.
     pub(crate) fn dispatch(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
         if !self.holds_back(cx, now, id) && !self.defers(cx, now, id) {
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Chooses a target for a request and sends it there.
+    /// Chooses a target for a request and sends it there, without asking the start queue.
     pub(crate) fn place(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
         if self.holds_back(cx, now, id) {
@@ -152,17 +157,17 @@
             return;
         };
         if now >= open.flight.request().deadline {
-            // It waited while this process slept.
+            // The deadline passed while the request waited, as when the process was suspended.
             self.handle_event(cx, id, 0, Event::Tick { heard: now });
             return;
         }
         if let Some(name) = open.counted_target.take() {
             self.targets.ended(&name);
         }
-        let given = open.slot.take().and_then(|it| it.given());
-        let given = given.and_then(|it| self.targets.choose_given(now, it.life()));
+        let turn = open.slot.take().and_then(|it| it.given());
+        let reserved = turn.and_then(|it| self.targets.choose_given(now, it.life()));
         let choice = match &open.owner {
-            _ if given.is_some() => given,
+            _ if reserved.is_some() => reserved,
             Some(owner) => {
                 let choice = self.targets.choose_owner(now, owner);
                 let since = *open.waiting_since.get_or_insert(now);
@@ -185,31 +190,31 @@
         }
     }
 
-    /// A request has no target now: it waits where that is of use, and is
-    /// refused at once where it is not.
+    /// Handles a request that no target can take now: lets it wait if a target is expected in
+    /// time, and refuses it otherwise.
     fn handle_no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
-        // A report may have come since the last tick.
+        // Heartbeats may have arrived since the last tick.
         self.targets.watch_groups(now);
-        let opens_soon = self.should_wait_for_group(now, id);
+        let ready_soon = self.should_wait_for_group(now, id);
         if self.seek_turn(cx, now, id) {
             return;
         }
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let rested = self.targets.rested(now, &open.served);
-        if open.head_sent && rested.unwrap_or(now) < open.delivered_at + RESUME_WAIT {
+        let paused_until = self.targets.rested(now, &open.served);
+        if open.head_sent && paused_until.unwrap_or(now) < open.delivered_at + RESUME_WAIT {
             open.waiting_since = Some(now);
             return;
         }
-        if rested.is_some() {
+        if paused_until.is_some() {
             let actions = open.flight.refuse(Refusal::TargetsRest);
             self.apply_actions(cx, id, actions);
             return;
         }
-        if opens_soon {
+        if ready_soon {
             open.waiting_since = Some(now);
-            slog::info!(self.log, "waits for its group"; "id" => &open.run.label,
+            slog::info!(self.log, "waiting for its group to become ready"; "id" => &open.run.label,
                 "service" => &open.served.1, "after" => now.saturating_sub(open.run.arrived));
             return;
         }
@@ -222,7 +227,7 @@
         self.apply_actions(cx, id, actions);
     }
 
-    /// Whether a request that has no target had better wait for its group.
+    /// Returns whether a request without a target should wait for its group to become ready.
     fn should_wait_for_group(&self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id) else { return false };
         if !open.may_wait_for_group(now)
@@ -231,9 +236,9 @@
         {
             return false;
         }
-        let same = |it: &&OpenRequest| it.waiting_since.is_some() && it.served == open.served;
-        let most = self.targets.whole(&open.served).capacity * FORM_PART;
-        (self.requests.values().filter(same).count() as f64) < most
+        let waits_too = |it: &&OpenRequest| it.waiting_since.is_some() && it.served == open.served;
+        let max_waiting = self.targets.whole(&open.served).capacity * MAX_WAITING_FRACTION;
+        (self.requests.values().filter(waits_too).count() as f64) < max_waiting
     }
 
     fn send(&mut self, cx: CX![], now: Millis, id: RequestId, choice: &Choice) {
@@ -250,7 +255,7 @@
         open.turn_requested = false;
         if !choice.given && !self.targets.spend(now, &choice.name) {
             self.metrics.sent_over_limit.inc();
-            slog::error!(self.log, "sent over the part of a limit"; "id" => &open.run.label,
+            slog::error!(self.log, "sent beyond this entry's part of a limit"; "id" => &open.run.label,
                 "target" => &choice.name);
         }
         if !self.watch.suspects.is_empty() {
@@ -260,8 +265,8 @@
         self.targets.sent(&choice.name);
         if attempt.number == 1 {
             open.started = now;
-            let waited = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
-            self.metrics.wait.observe(waited);
+            let wait_s = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
+            self.metrics.wait.observe(wait_s);
         }
         let addr = match choice.via {
             Via::Agent(..) => None,
@@ -289,26 +294,29 @@
         }
     }
 
-    /// The retry budget of a service.
+    /// Returns the retry budget of a service, and creates it on first use.
     pub(crate) fn budget(&mut self, served: &Served) -> &mut Budget {
         let options = self.settings.budget_options(self.targets.sharers());
-        let open = || Budget::open(options);
-        self.retry_budgets.entry(served.clone()).or_insert_with(open)
+        let new_budget = || Budget::open(options);
+        self.retry_budgets.entry(served.clone()).or_insert_with(new_budget)
     }
 
     // Events.
 
+    /// Passes an event to the state machine of a request and carries out the resulting actions.
+    /// `number` is the attempt that the event belongs to, 0 if it concerns the whole request.
     pub(crate) fn handle_event(&mut self, cx: CX![], id: RequestId, number: u32, event: Event) {
         let Some(open) = self.requests.get_mut(&id) else {
             self.metrics.ignored(Ignored::LateAnswer);
             return;
         };
         let mut budget = self.retry_budgets.get_mut(&open.served);
-        let mut spend = || budget.as_mut().is_some_and(|it| it.spend());
-        let actions = open.flight.handle_event(clock::now(), number, event, &mut spend);
+        let mut spend_retry = || budget.as_mut().is_some_and(|it| it.spend());
+        let actions = open.flight.handle_event(clock::now(), number, event, &mut spend_retry);
         self.apply_actions(cx, id, actions);
     }
 
+    /// Carries out actions of a request's state machine, and removes the request once it has ended.
     pub(crate) fn apply_actions(&mut self, cx: CX![], id: RequestId, actions: Vec<Action>) {
         for action in actions {
             self.apply_action(cx, id, action);
@@ -335,8 +343,8 @@
             }
             Action::Cancel(attempt) => self.cancel(id, attempt),
             Action::Head(head) => {
-                let took = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
-                self.metrics.first_byte.observe(took);
+                let wait_s = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
+                self.metrics.first_byte.observe(wait_s);
                 open.head_sent = true;
                 open.delivered_at = now;
                 open.time_to_first_byte = now.saturating_sub(open.run.arrived);
@@ -344,9 +352,9 @@
                 self.settings.dialect.head(&open.run.reply, &open.run.label, head, stream);
             }
             Action::Deliver(bytes) => {
-                let paused = now.saturating_sub(open.delivered_at);
-                open.longest_pause = open.longest_pause.max((paused, now));
-                self.metrics.between.observe(paused as f64 / 1_000.0);
+                let pause = now.saturating_sub(open.delivered_at);
+                open.longest_pause = open.longest_pause.max((pause, now));
+                self.metrics.between.observe(pause as f64 / 1_000.0);
                 open.delivered_at = now;
                 open.run.reply.send(Part::Bytes(bytes));
             }
@@ -361,9 +369,10 @@
                     "service" => &open.served.1, "allowed" => open.route.as_ref().and_then(|it| it.pause),
                     "objective" => open.route.as_ref().map(|it| it.objective));
                 let (served, started) = (open.served.clone(), open.started);
-                let opened = (open.run.arrived + open.time_to_first_byte).saturating_sub(started);
-                let starts = self.start_queues.entry(served).or_default();
-                starts.record_end(now.saturating_sub(started), opened);
+                let first_byte_after_start =
+                    (open.run.arrived + open.time_to_first_byte).saturating_sub(started);
+                let queue = self.start_queues.entry(served).or_default();
+                queue.record_end(now.saturating_sub(started), first_byte_after_start);
                 self.traces.add(now, id, Step::Answered);
                 self.ran_whole(id);
             }
@@ -379,11 +388,11 @@
         }
     }
 
-    /// When a caller may come back that is refused while all that could serve it rest.
+    /// Sets the retry-after time of a request that fails while all of its possible targets are paused.
     fn set_retry_after(&mut self, now: Millis, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if let Some(until) = self.targets.rested(now, &open.served) {
-            let spread = self.rng.random_range(0..COME_BACK_SPREAD);
+            let spread = self.rng.random_range(0..MAX_RETRY_AFTER_SPREAD);
             open.retry_after.get_or_insert((until - now).saturating_add(spread));
         }
     }
@@ -410,6 +419,7 @@
         }
     }
 
+    /// Cancels an attempt: closes its connection to the target, or notifies the target's agent.
     fn cancel(&mut self, id: RequestId, attempt: AttemptId) {
         if self.cancel_direct(id) {
             return;
@@ -421,6 +431,7 @@
         self.send_to_agent(id, cancel);
     }
 
+    /// Sends a message to the agent of the request's current target, if that is connected.
     fn send_to_agent(&self, id: RequestId, body: Body) {
         let target = self.requests.get(&id).and_then(|it| it.flight.target());
         if let Some(peer) = target.and_then(|it| self.targets.link(it)) {
@@ -428,6 +439,7 @@
         }
     }
 
+    /// Removes a request that has ended and releases its admission.
     fn close_request(&mut self, id: RequestId) {
         let Some(open) = self.requests.remove(&id) else {
             return;
