--- a/crates/sablepass-entry/src/call.rs
+++ b/crates/sablepass-entry/src/call.rs
@@ -1,80 +1,80 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A caller's request, as the dialects read it.
+//! A caller's request, as a dialect parses it for the router.
 
 use sablepass_core::declaration::{Kind, Priority};
 use sablepass_core::id::{Millis, RequestId};
 use sablepass_edge::server;
 
-/// What a request asks for.
+/// Selects the model or service that a request is for.
 #[derive(Clone, Debug)]
 pub enum Selector {
-    /// A model or a service by name, qualified or not.
+    /// A model or service by its name, qualified by the partner or not.
     Named(Kind, String),
-    /// Whatever the routes say of its host and path.
+    /// The service of the declared route that matches the request's host and path.
     Route {
-        /// Host.
+        /// Host without a port.
         host: String,
-        /// Path without a query.
+        /// Path without the query.
         path: String,
     },
 }
 
-/// A request to be run.
+/// A request that is to be run by a target.
 #[derive(Debug)]
 pub struct Run {
-    /// Its name in this system.
+    /// Identifies the request within this system.
     pub id: RequestId,
-    /// The name that its caller knows.
+    /// Identifies the request towards the caller and in log lines.
     pub label: String,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Millis,
-    /// The caller's key.
+    /// API key of the caller.
     pub key: Option<String>,
-    /// What it asks for.
+    /// Selects the model or service.
     pub selector: Selector,
-    /// When it is no longer wanted.
+    /// Time after which the caller no longer waits for an answer.
     pub deadline: Millis,
-    /// Priority asked for.
+    /// Priority that the caller requested.
     pub priority: Option<Priority>,
-    /// It must not run more than once.
+    /// Whether the request is unsafe: it must run at most once.
     pub unsafe_repeat: bool,
-    /// Idempotency key.
+    /// Idempotency key that the caller sent.
     pub idempotency_key: Option<String>,
-    /// When the caller made that key.
+    /// When the caller created the idempotency key.
     pub key_issued_at: Option<Millis>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// It goes on after what its caller got of an answer that broke off.
+    /// Whether the caller resumes an interrupted stream after the last event that it received.
     pub resumed: bool,
-    /// The prompt's prefix.
+    /// Prefix of the prompt, for routing by affinity.
     pub prefix: Option<String>,
-    /// Path towards the target.
+    /// Path of the request at a target that is reached through its agent.
     pub path: String,
-    /// Its head as it came.
+    /// Request line and header fields as received.
     pub head: http::Request<()>,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Where the answer goes.
+    /// Sends the answer to the caller.
     pub reply: server::Reply,
 }
 
-/// What a caller wants.
+/// A parsed call to the entry.
 #[derive(Debug)]
 pub enum Call {
-    /// A request to be run.
+    /// A request that is to be run by a target.
     Run(Box<Run>),
-    /// The models that its key may use.
+    /// A query for the models that the caller's key may use.
     Models {
-        /// The caller's key.
+        /// API key of the caller.
         key: String,
-        /// Where the answer goes.
+        /// Sends the answer to the caller.
         reply: server::Reply,
     },
 }
 
-/// Draws the name of a request.
+/// Returns a random id for a request.
 pub fn new_id() -> RequestId {
     RequestId(rand::random())
 }
