--- a/crates/sablepass-entry/src/open.rs
+++ b/crates/sablepass-entry/src/open.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A request in progress, as the router holds it.
+//! State that the router keeps for each request in progress.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -20,59 +20,60 @@
 use crate::targets::Served;
 use crate::turns::Slot;
 
-/// How long a request waits for a group that is about to open. With the time
-/// that its prompt takes it then begins before its caller, who leaves after two
-/// seconds of silence, is gone.
-const FORM_WAIT: Millis = 1_400;
+/// Maximum time from the arrival of a request that it waits for its group to become ready. Callers
+/// disconnect after two seconds without data; the difference is left for processing the prompt.
+const GROUP_READY_WAIT: Millis = 1_400;
 
-/// A request in progress.
+/// A request that was admitted and has not ended.
 pub(crate) struct OpenRequest {
     pub(crate) flight: Flight,
     pub(crate) run: Run,
     pub(crate) fingerprint: OnceCell<Fingerprint>,
-    /// The customer's qualified name.
+    /// Qualified name of the customer; empty for a caller without a key.
     pub(crate) customer: String,
-    /// The customer's name as targets are told it.
+    /// Name of the customer that is sent to targets.
     pub(crate) forwarded_customer: Option<String>,
     pub(crate) priority: Priority,
     pub(crate) served: Served,
-    /// The route that it came by, as it was then.
+    /// The route that matched the request, as declared at its admission.
     pub(crate) route: Option<Rc<Route>>,
     pub(crate) exchange: ExchangeKey,
     pub(crate) ticket: Ticket,
-    /// The target that owns the request's key.
+    /// The target that owns the request's idempotency key.
     pub(crate) owner: Option<String>,
-    /// Since when the request waits for a connection to that target.
+    /// Since when the request waits for the owner's connection, a target that can continue its
+    /// stream, its group or its turn.
     pub(crate) waiting_since: Option<Millis>,
-    /// How it waits for a target that gets as many requests as it takes.
+    /// The turn under a target's limit that the request waits for.
     pub(crate) slot: Option<Slot>,
-    /// It has asked another entry for its turn since it was last sent.
+    /// Whether another entry was asked for a turn since the request was last sent.
     pub(crate) turn_requested: bool,
-    /// The target that counts this request as its own.
+    /// The target whose load includes this request.
     pub(crate) counted_target: Option<String>,
-    /// The connection that carries it, if it goes straight to its target.
+    /// The connection in use, if the request was sent directly to its target.
     pub(crate) connection: Option<ConnectionKey>,
-    /// The caller's answer has begun.
+    /// Whether the head of the answer was sent to the caller.
     pub(crate) head_sent: bool,
-    /// When the caller last got something.
+    /// When a part of the answer was last sent to the caller; at first when the request was
+    /// admitted.
     pub(crate) delivered_at: Millis,
-    /// When its last attempt was sent.
+    /// When the last attempt was sent.
     pub(crate) sent_at: Millis,
-    /// When it was first sent to a target.
+    /// When the first attempt was sent.
     pub(crate) started: Millis,
-    /// How long its caller waited for the first of the answer, and at most for
-    /// any more of it, with when that wait ended.
+    /// Time from the arrival of the request until the head of its answer.
     pub(crate) time_to_first_byte: Millis,
+    /// Longest time between two parts of the answer, and when it ended.
     pub(crate) longest_pause: (Millis, Millis),
-    /// When its caller may come back, if it is refused.
+    /// Time after which the caller may retry if the request is refused.
     pub(crate) retry_after: Option<Millis>,
-    /// Revision of the configuration that it was admitted by.
+    /// Revision of the configuration at the request's admission.
     pub(crate) revision: Revision,
 }
 
 impl OpenRequest {
-    /// What the request has in common with any other one that asks for the
-    /// same. Worked out when first asked for: few requests are ever suspected.
+    /// Returns the hash that all requests of the customer with the same content share. It is
+    /// computed on first use, since it is needed for suspected requests only, which are rare.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let path = self.run.head.uri().path_and_query().map_or("", |it| it.as_str());
@@ -80,8 +81,8 @@
         })
     }
 
-    /// Whether it may still wait for its group to open.
+    /// Returns whether the request may still wait for its group to become ready.
     pub(crate) fn may_wait_for_group(&self, now: Millis) -> bool {
-        now < self.flight.request().deadline.min(self.run.arrived + FORM_WAIT)
+        now < self.flight.request().deadline.min(self.run.arrived + GROUP_READY_WAIT)
     }
 }
