--- a/crates/sablepass-entry/src/settings.rs
+++ b/crates/sablepass-entry/src/settings.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Settings of an entry.
+//! Settings of an entry, read from its file at the start and again at a reload signal.
 
 use std::net::SocketAddr;
 
@@ -13,75 +13,75 @@
 
 use crate::dialect::Dialect;
 
-/// The file.
+/// Content of the settings file. Times are in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The process as one of many.
+    /// Settings common to all instances.
     pub node: settings::Node,
-    /// Where callers connect to.
+    /// Address at which callers connect.
     pub http: SocketAddr,
-    /// How a target is chosen. Default "affinity".
+    /// Load-balancing policy by which a target is chosen. Default "affinity".
     #[serde(default = "default_policy")]
     pub policy: String,
-    /// Targets of a model to keep connections to. Default 8.
+    /// Number of targets of each model to which connections are kept. Default 8.
     #[serde(default = "default_subset")]
     pub subset: usize,
-    /// Milliseconds without a heartbeat after which a target is not chosen. Default 3,000.
+    /// Time without a heartbeat after which a target is not chosen. Default 3,000.
     #[serde(default = "default_silence")]
     pub silence: u64,
-    /// Milliseconds before a planned stop from which its target is not chosen. Default 2,000.
-    #[serde(default = "default_lead")]
+    /// Time before a planned stop of a target from which it is not chosen. Default 2,000.
+    #[serde(default = "default_stop_lead")]
     pub stop_lead: u64,
-    /// Exchanges held at once. Default 2,000.
+    /// Maximum number of requests in progress. Default 2,000.
     #[serde(default = "default_exchanges")]
     pub exchanges: usize,
-    /// Longest request body in bytes. Default 4 MiB less room for the frame.
+    /// Maximum size of a request body in bytes. Default 4 MiB less 64 KiB for the other fields of
+    /// the message that carries it.
     #[serde(default = "default_body")]
     pub body: usize,
-    /// Deadline in milliseconds of a request that names none. Default 120,000.
+    /// Deadline of a request that specifies none. Default 120,000.
     #[serde(default = "default_deadline")]
     pub deadline: u64,
-    /// Attempts of a request in all. Default 4.
+    /// Maximum number of attempts for a request, the first included. Default 4.
     #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// Milliseconds without a sign of life of its target after which a safe
-    /// request is sent elsewhere. Default 10,000.
+    /// Time without any message from a target's agent after which a safe request is retried at
+    /// another target. Default 10,000.
     #[serde(default = "default_stall")]
     pub stall: u64,
-    /// Milliseconds for which a group of ranks stands before it gives up one that
-    /// it lost. Default 1,500.
+    /// Time for which a group of ranks stalls before it gives up a lost rank. Default 1,500.
     #[serde(default = "default_stands")]
     pub stands: u64,
-    /// Milliseconds that a probe of lost contact may take. Default 5,000.
+    /// Timeout of a probe that asks an agent, after contact was lost, for the state of an attempt.
+    /// Default 5,000.
     #[serde(default = "default_probe")]
     pub probe: u64,
-    /// Retries as a part of first attempts. Default 0.1.
+    /// Retries that each first attempt adds to the retry budget. Default 0.1.
     #[serde(default = "default_retry_ratio")]
     pub retry_ratio: f64,
-    /// Retries that all entries together may make at once beyond that, for
-    /// each service. Absent, every entry may make 20.
+    /// Burst of retries that all entries together may make for each service. If absent, each entry
+    /// may make 20.
     #[serde(default)]
     pub retry_slack: Option<f64>,
-    /// Characters of a prompt that count as its prefix. Default 256.
+    /// Length in characters of the prompt's prefix that routing by affinity uses. Default 256.
     #[serde(default = "default_prefix")]
     pub prefix: usize,
-    /// What callers speak. Default open-ai.
+    /// Protocol of the callers. Default open-ai.
     #[serde(default)]
     pub dialect: Dialect,
-    /// Where a balancer asks whether this entry takes callers; on the admin
-    /// address as well.
+    /// Address at which load balancers query readiness, in addition to the admin address.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// Port of the agents beside targets that the instance list names, which
-    /// tell their load.
+    /// Port of the agents on the machines of targets from the instance list. These agents report
+    /// the targets' load.
     #[serde(default)]
     pub agent_port: Option<u16>,
-    /// Milliseconds after a stop signal in which callers are still taken,
-    /// until a balancer has seen that this entry is not ready. Default 0.
+    /// Time after a stop signal in which requests are still admitted, so that load balancers can
+    /// notice that this entry is not ready. Default 0.
     #[serde(default)]
     pub stop_wait: u64,
-    /// Requests whose stories are remembered. Default 10,000.
+    /// Number of requests whose traces are kept. Default 10,000.
     #[serde(default = "default_stories")]
     pub stories: usize,
 }
@@ -90,17 +90,17 @@
     10_000
 }
 
-/// Retries at once that an entry may make where nothing else is set.
-const RETRY_BURST: f64 = 20.0;
-/// Part of the common retries that entries use, so that one that starts anew,
-/// with a new share, does not bring all of them over the limit.
-const RETRY_PART: f64 = 0.6;
-/// Entries among which the common retries are shared at least: there may be
-/// some that this one has not met.
-const RETRY_SHARERS: usize = 4;
-/// The same while this one has just started and heard of none: more than there
-/// are on any deployment known. Agents tell within some 300 ms.
-const RETRY_UNKNOWN: usize = 64;
+/// Burst of retries that an entry may make if `retry_slack` is absent.
+const DEFAULT_RETRY_BURST: f64 = 20.0;
+/// Fraction of the common burst that the entries divide among themselves. The rest is a reserve for
+/// entries that restart with a full share, so that all together stay below the limit.
+const RETRY_BURST_FRACTION: f64 = 0.6;
+/// Minimum number of entries among which the common burst is divided, as some may not be known to
+/// this one.
+const MIN_RETRY_SHARERS: usize = 4;
+/// Minimum number of entries assumed after the start, until their number is reported: more than
+/// known deployments have. Agents report it within about 300 ms.
+const INITIAL_RETRY_SHARERS: usize = 64;
 
 fn default_policy() -> String {
     "affinity".to_owned()
@@ -114,7 +114,7 @@
     3_000
 }
 
-fn default_lead() -> u64 {
+fn default_stop_lead() -> u64 {
     2_000
 }
 
@@ -158,13 +158,18 @@
     fn check(&self, checker: &Checker<'_>) -> Result<(), Error> {
         self.node.check(checker)?;
         let known = Policy::parse(&self.policy).is_some();
-        let names = "round-robin, least-load, two-choices, even or affinity";
-        checker.fits("policy", &self.policy, known, names)?;
+        let allowed = "round-robin, least-load, two-choices, even or affinity";
+        checker.fits("policy", &self.policy, known, allowed)?;
         checker.fits("subset", self.subset, (1..=1_024).contains(&self.subset), "1 to 1024")?;
         let exchanges = self.exchanges;
         checker.fits("exchanges", exchanges, (1..=20_000).contains(&exchanges), "1 to 20000")?;
-        let most = default_body();
-        checker.fits("body", self.body, (1_024..=most).contains(&self.body), "1024 to 4128768")?;
+        let max_body = default_body();
+        checker.fits(
+            "body",
+            self.body,
+            (1_024..=max_body).contains(&self.body),
+            "1024 to 4128768",
+        )?;
         checker.fits("attempts", self.attempts, (1..=10).contains(&self.attempts), "1 to 10")?;
         let ratio = self.retry_ratio;
         checker.fits("retry_ratio", ratio, (0.0..=1.0).contains(&ratio), "0 to 1")?;
@@ -190,7 +195,7 @@
 }
 
 impl Settings {
-    /// Options of the request state machine.
+    /// Returns the options of the request state machine.
     pub fn flight_options(&self) -> flight::Options {
         flight::Options {
             stall_timeout: self.stall,
@@ -199,16 +204,16 @@
         }
     }
 
-    /// Options of admission.
+    /// Returns the options of admission control.
     pub fn admission_options(&self) -> admit::Options {
         admit::Options { limit: self.exchanges, ..admit::Options::default() }
     }
 
-    /// Options of the retry budget of a service, shared with these entries.
+    /// Returns the options of a service's retry budget, which is divided among `entries`.
     pub fn budget_options(&self, entries: &Sharers) -> budget::Options {
-        let least = if entries.is_known() { RETRY_SHARERS } else { RETRY_UNKNOWN };
-        let share = |it: f64| it * RETRY_PART / entries.count().max(least) as f64;
-        let burst = self.retry_slack.map_or(RETRY_BURST, share);
+        let sharers = if entries.is_known() { MIN_RETRY_SHARERS } else { INITIAL_RETRY_SHARERS };
+        let share = |burst: f64| burst * RETRY_BURST_FRACTION / entries.count().max(sharers) as f64;
+        let burst = self.retry_slack.map_or(DEFAULT_RETRY_BURST, share);
         budget::Options { ratio: self.retry_ratio, burst }
     }
 }
