--- a/crates/sablepass-entry/src/trace.rs
+++ b/crates/sablepass-entry/src/trace.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What became of the last requests, for `sablepassctl explain`.
+//! Traces of the most recent requests, shown by `sablepassctl explain`. The router records them.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,86 +9,87 @@
 use sablepass_core::outcome::Failure;
 use sablepass_core::reason::Retry;
 
-/// One line of a request's story.
+/// One step in the trace of a request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// It was admitted for this customer and model.
+    /// The request was admitted.
     Admitted {
-        /// Qualified customer.
+        /// Qualified name of the customer.
         customer: String,
-        /// Qualified model or service.
+        /// Qualified name of the model or service.
         serves: String,
     },
-    /// It was sent to this target.
+    /// The request was sent to a target.
     Sent {
         /// Qualified target.
         target: String,
-        /// Load of the target, relative to its capacity, when chosen.
+        /// Load of the target relative to its capacity when it was chosen.
         load: f64,
-        /// Targets that could have been chosen.
+        /// Number of targets among which it was chosen.
         candidates: usize,
     },
-    /// This target ended while it held the request.
+    /// The target terminated while it ran the request.
     TargetEnded {
         /// Qualified target.
         target: String,
     },
-    /// This target did not take it.
+    /// The target rejected the request.
     TurnedAway {
         /// Qualified target.
         target: String,
-        /// How long it wants nothing more from this entry.
+        /// Pause that the target requested from this entry.
         rest: Option<Millis>,
     },
-    /// All that could serve it get as many requests as they take; it has its turn at this target.
+    /// All possible targets receive requests at their limits; the request was given a turn at one.
     Turn {
         /// Qualified target.
         target: String,
-        /// Milliseconds until then.
+        /// Time until the turn.
         wait: Millis,
     },
-    /// It is sent again.
+    /// The request is retried for this reason.
     Retried(Retry),
-    /// It got its answer.
+    /// The answer was sent completely.
     Answered,
-    /// It failed.
+    /// The request failed.
     Failed(Failure),
 }
 
-/// The stories of the last requests.
+/// Traces of the most recent requests.
 #[derive(Debug)]
 pub struct Traces {
-    /// Requests remembered.
-    keep: usize,
-    stories: HashMap<RequestId, Vec<(Millis, Step)>>,
+    /// Maximum number of traces.
+    capacity: usize,
+    traces: HashMap<RequestId, Vec<(Millis, Step)>>,
     order: VecDeque<RequestId>,
 }
 
 impl Traces {
-    /// Opens an empty memory of so many requests.
-    pub fn open(keep: usize) -> Self {
-        Self { keep, stories: HashMap::new(), order: VecDeque::new() }
+    /// Creates an empty store for the traces of `capacity` requests.
+    pub fn open(capacity: usize) -> Self {
+        Self { capacity, traces: HashMap::new(), order: VecDeque::new() }
     }
 
-    /// Adds a line to a request's story.
+    /// Adds a step to the trace of a request. A new request replaces the oldest one if the store is
+    /// full.
     pub fn add(&mut self, now: Millis, id: RequestId, step: Step) {
-        if !self.stories.contains_key(&id) {
+        if !self.traces.contains_key(&id) {
             self.order.push_back(id);
-            if self.order.len() > self.keep
+            if self.order.len() > self.capacity
                 && let Some(oldest) = self.order.pop_front()
             {
-                self.stories.remove(&oldest);
+                self.traces.remove(&oldest);
             }
         }
-        self.stories.entry(id).or_default().push((now, step));
+        self.traces.entry(id).or_default().push((now, step));
     }
 
-    /// A request's story as JSON.
+    /// Returns the trace of a request as JSON, or none if the id is malformed or unknown.
     pub fn explain(&self, id: &str) -> Option<serde_json::Value> {
         let id = RequestId(u128::from_str_radix(id, 16).ok()?);
-        let story = self.stories.get(&id)?;
+        let trace = self.traces.get(&id)?;
         let steps: Vec<serde_json::Value> =
-            story.iter().map(|(at, step)| step_json(*at, step)).collect();
+            trace.iter().map(|(at, step)| step_json(*at, step)).collect();
         Some(serde_json::json!({ "request": id.to_string(), "steps": steps }))
     }
 }
