--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a router answers to operators: readiness, status, a request's story.
+//! The router's answers to queries at the admin address: readiness, status and request traces.
 
 use sablepass_core::revision::Revision;
 use sablepass_edge::admin::{self, Ask};
@@ -11,12 +11,12 @@
 use crate::router::Router;
 
 impl Router {
-    /// Answers an operator's query.
+    /// Answers a query of the admin server.
     pub fn query(&mut self, _cx: CX![], query: admin::Query) {
         let reply = match &query.ask {
             Ask::Ready => self.ready(),
             Ask::Request(id) => match self.traces.explain(id) {
-                Some(it) => admin::Reply::ok(&it),
+                Some(trace) => admin::Reply::ok(&trace),
                 None => admin::Reply::missing("request"),
             },
             Ask::Group(_) => admin::Reply::missing("group; ask an agent of the group"),
@@ -37,6 +37,7 @@
         admin::Reply { status: if ready { 200 } else { 503 }, json }
     }
 
+    /// Sends the status of this entry, merged with that of the mesh, which answers asynchronously.
     fn status(&self, reply: admin::Asker) {
         let now = clock::now();
         let members = self.targets.members();
