--- a/crates/sablepass-entry/src/main.rs
+++ b/crates/sablepass-entry/src/main.rs
@@ -1,12 +1,11 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The entry instance: callers' HTTP on one side, targets on the other.
+//! The entry instance: accepts callers' HTTP requests and forwards them to targets.
 //!
-//! A request's path: the server of `sablepass-edge` takes it from the caller,
-//! a [`dialect`] reads it, and the [`router`] admits it, chooses a target and
-//! sends it there: to the target's agent, or straight over a connection of the
-//! [`pool`]. Answers come back the same way.
+//! The HTTP server of `sablepass-edge` receives a request, a [`dialect`] parses it, and the
+//! [`router`] admits it, chooses a target and sends it there: to the target's agent, or directly
+//! over a connection of the [`pool`]. Answers return on the same path.
 
 mod answers;
 mod call;
@@ -40,8 +39,9 @@
 
 use crate::router::Router;
 
-/// Connections of callers beyond the admission limit that are still answered, with a refusal.
-const HEADROOM: usize = 64;
+/// Number of callers' connections accepted beyond the admission limit, so that the requests in
+/// excess are refused with an answer.
+const REFUSAL_HEADROOM: usize = 64;
 
 fn main() -> ExitCode {
     daemon::main("sablepass-entry", "Takes callers' requests and routes them", run)
@@ -65,7 +65,7 @@
         let server = actor_new!(s, Server, ret_shutdown!(s));
         let limits = Limits {
             body: settings.body,
-            connections: settings.exchanges + HEADROOM,
+            connections: settings.exchanges + REFUSAL_HEADROOM,
             ..Limits::default()
         };
         let events = fwd_to!([actor], server_event() as (server::Event));
