--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -92,7 +92,7 @@
             .collect();
         names.sort();
         names.dedup();
-        openai::models(reply, &names);
+        openai::send_models(reply, &names);
     }
 
     fn refuse(&self, reply: &server::Reply, label: &str, reason: Refusal) {
@@ -100,7 +100,12 @@
         let revision = self.targets.catalogue().revision;
         slog::warn!(self.log, "refused"; "id" => label, "reason" => reason.label(),
             "revision" => revision.number, "era" => revision.era, "held" => self.requests.len());
-        self.settings.dialect.fail(reply, label, Failure { reason, ran: Ran::NotRun }, None);
+        self.settings.dialect.send_failure(
+            reply,
+            label,
+            Failure { reason, ran: Ran::NotRun },
+            None,
+        );
     }
 
     fn run(&mut self, cx: CX![], exchange: server::ExchangeKey, run: Run) {
--- a/crates/sablepass-entry/src/dialect.rs
+++ b/crates/sablepass-entry/src/dialect.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The languages that callers speak.
+//! The protocols that callers may use. The router parses requests and writes answers through them.
 
 use http::StatusCode;
 use sablepass_core::flight::Head;
@@ -14,37 +14,37 @@
 use crate::call::Call;
 use crate::{openai, routes};
 
-/// A language.
+/// Protocol of the callers of an entry.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Dialect {
-    /// That of clients of the `OpenAI` API, and plain services under `/services/`.
+    /// The `OpenAI` API, and plain services under `/services/`.
     #[default]
     OpenAi,
-    /// Any HTTP request, sent on by the routes declared.
+    /// Any HTTP request, forwarded by the declared routes.
     Routes,
 }
 
-/// A request that cannot be run, and the name that its caller knows.
+/// A request that is refused because it cannot be parsed.
 #[derive(Debug)]
 pub struct Refused {
-    /// The name.
+    /// Identifies the request towards the caller; empty if unknown.
     pub label: String,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Refusal,
 }
 
 impl Dialect {
-    /// Reads a request.
-    pub fn parse(self, options: &openai::Options, it: Incoming) -> Result<Call, Refused> {
+    /// Parses a request.
+    pub fn parse(self, options: &openai::Options, incoming: Incoming) -> Result<Call, Refused> {
         match self {
-            Self::OpenAi => openai::parse(options, it),
-            Self::Routes => routes::parse(options, it),
+            Self::OpenAi => openai::parse(options, incoming),
+            Self::Routes => routes::parse(options, incoming),
         }
     }
 
-    /// Begins an answer.
-    pub fn head(self, reply: &Reply, label: &str, head: Head, stream: bool) {
+    /// Sends the head of an answer. Without `stream`, the body is sent as a whole.
+    pub fn send_head(self, reply: &Reply, label: &str, head: Head, stream: bool) {
         let framing = if stream { Framing::Chunked } else { Framing::Whole };
         let head = match self {
             Self::OpenAi => openai::head(label, head, stream),
@@ -53,27 +53,34 @@
         reply.send(Part::Head(Box::new(head), framing));
     }
 
-    /// Answers that there will be no answer.
-    pub fn fail(self, reply: &Reply, label: &str, failure: Failure, comeback: Option<Millis>) {
+    /// Answers with a failure. `retry_after` is the time after which the caller may retry; if absent,
+    /// the dialect's default for the reason applies.
+    pub fn send_failure(
+        self,
+        reply: &Reply,
+        label: &str,
+        failure: Failure,
+        retry_after: Option<Millis>,
+    ) {
         let (head, body) = match self {
-            Self::OpenAi => openai::failure(label, failure, comeback),
-            Self::Routes => routes::failure(label, failure, comeback),
+            Self::OpenAi => openai::failure(label, failure, retry_after),
+            Self::Routes => routes::failure(label, failure, retry_after),
         };
         reply.whole(head, body);
     }
 
-    /// Ends an answer that has begun and will not be whole.
-    pub fn break_off(self, reply: &Reply, label: &str, failure: Failure) {
+    /// Ends an answer that was started and cannot be completed.
+    pub fn abort_answer(self, reply: &Reply, label: &str, failure: Failure) {
         match self {
-            Self::OpenAi => openai::break_off(reply, label, failure),
+            Self::OpenAi => openai::abort_stream(reply, label, failure),
             Self::Routes => reply.send(Part::Abort),
         }
     }
 }
 
-/// Why a request that could not be read is refused.
-pub fn refusal(it: Problem) -> Refusal {
-    match it {
+/// Returns the reason for refusing a request that the HTTP server could not read.
+pub fn refusal_for(problem: Problem) -> Refusal {
+    match problem {
         Problem::Malformed => Refusal::BadRequest,
         Problem::HeadTooLarge => Refusal::HeaderTooLarge,
         Problem::BodyTooLarge => Refusal::BodyTooLarge,
@@ -81,17 +88,18 @@
     }
 }
 
-/// A status that a target sent or this project gave; one that is none is a bad gateway's.
+/// Converts a status code of a target or of this program; 502 if it is not a valid status.
 pub fn status(code: u32) -> StatusCode {
     let code = u16::try_from(code).ok().and_then(|it| StatusCode::from_u16(it).ok());
     code.unwrap_or(StatusCode::BAD_GATEWAY)
 }
 
-/// Adds the fields of a target's answer. Fields that were read from HTTP fit into it.
+/// Appends the header fields of a target's answer. Fields that were parsed from HTTP are always
+/// valid; others are skipped.
 pub fn add_fields(to: &mut http::HeaderMap, head: &Head) {
-    for it in &head.fields {
-        let name = http::HeaderName::from_bytes(it.name.as_bytes());
-        let value = http::HeaderValue::from_bytes(&it.value);
+    for field in &head.fields {
+        let name = http::HeaderName::from_bytes(field.name.as_bytes());
+        let value = http::HeaderValue::from_bytes(&field.value);
         if let (Ok(name), Ok(value)) = (name, value) {
             to.append(name, value);
         }
--- a/crates/sablepass-entry/src/openai.rs
+++ b/crates/sablepass-entry/src/openai.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The dialect of clients of the `OpenAI` API: completions and models, and
-//! plain services under `/services/NAME/`.
+//! The dialect of the `OpenAI` API: completions and models, and plain services under
+//! `/services/NAME/`.
 
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Response};
@@ -19,34 +19,33 @@
 use crate::dialect::{self, Refused};
 use crate::settings::Settings;
 
-/// Longest deadline that a caller may ask for.
-const DEADLINE_MOST: Millis = 3_600_000;
-/// Longest idempotency key in bytes.
-const KEY_MOST: usize = 255;
+/// Maximum deadline that a caller may request.
+const MAX_DEADLINE: Millis = 3_600_000;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 255;
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 const RAN: HeaderName = HeaderName::from_static("x-sablepass-ran");
 const REPLAYED: HeaderName = HeaderName::from_static("x-sablepass-replayed");
 
-/// What the dialects take from the settings.
+/// Settings that the dialects use.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that specifies none, relative to its arrival.
     pub deadline: Millis,
-    /// Characters of a prompt that count as its prefix.
+    /// Length in characters of the prompt's prefix that routing by affinity uses.
     pub prefix: usize,
 }
 
 impl From<&Settings> for Options {
-    fn from(it: &Settings) -> Self {
-        Self { deadline: it.deadline, prefix: it.prefix }
+    fn from(settings: &Settings) -> Self {
+        Self { deadline: settings.deadline, prefix: settings.prefix }
     }
 }
 
 // Requests.
 
-/// The part of a completion request that routing needs; the rest goes to the
-/// engine untouched.
+/// The fields of a completion request that routing needs. The engine receives the body unchanged.
 #[derive(Debug, Deserialize)]
 struct Completion {
     model: String,
@@ -71,28 +70,28 @@
     Service { name: String, path: String },
 }
 
-/// Reads a request.
-pub fn parse(options: &Options, it: Incoming) -> Result<Call, Refused> {
+/// Parses a request.
+pub fn parse(options: &Options, incoming: Incoming) -> Result<Call, Refused> {
     let id = call::new_id();
     let refused = |reason| Refused { label: id.to_string(), reason };
-    parse_call(options, id, it).map_err(refused)
+    parse_call(options, id, incoming).map_err(refused)
 }
 
 fn parse_call(
     options: &Options,
     id: sablepass_core::id::RequestId,
-    it: Incoming,
+    incoming: Incoming,
 ) -> Result<Call, Refusal> {
     let arrived = clock::now();
-    let head = it.head.map_err(dialect::refusal)?;
+    let head = incoming.head.map_err(dialect::refusal_for)?;
     let fields = head.headers();
     let path = parse_path(&head)?;
     let key = parse_key(fields).ok_or(Refusal::UnknownKey)?;
     if matches!(path, Path::Models) {
-        return Ok(Call::Models { key, reply: it.reply });
+        return Ok(Call::Models { key, reply: incoming.reply });
     }
     let idempotency_key = text(fields, "idempotency-key").map(str::to_owned);
-    if idempotency_key.as_ref().is_some_and(|it| it.is_empty() || it.len() > KEY_MOST) {
+    if idempotency_key.as_ref().is_some_and(|it| it.is_empty() || it.len() > MAX_KEY_BYTES) {
         return Err(Refusal::BadHeader);
     }
     let mut run = Run {
@@ -110,8 +109,8 @@
         stream: false,
         prefix: None,
         path: String::new(),
-        body: it.body,
-        reply: it.reply,
+        body: incoming.body,
+        reply: incoming.reply,
         head,
     };
     match path {
@@ -167,7 +166,7 @@
 fn parse_deadline(options: &Options, fields: &HeaderMap) -> Result<Millis, Refusal> {
     match parse_number(fields, "x-sablepass-deadline-ms")? {
         None => Ok(options.deadline),
-        Some(it) if (1..=DEADLINE_MOST).contains(&it) => Ok(it),
+        Some(it) if (1..=MAX_DEADLINE).contains(&it) => Ok(it),
         Some(_) => Err(Refusal::BadHeader),
     }
 }
@@ -186,8 +185,8 @@
 }
 
 fn parse_completion(run: &mut Run, path: &str, prefix: usize) -> Result<(), Refusal> {
-    let it: Completion = serde_json::from_slice(&run.body).map_err(|_| Refusal::BadBody)?;
-    let text = match (it.messages, it.prompt) {
+    let completion: Completion = serde_json::from_slice(&run.body).map_err(|_| Refusal::BadBody)?;
+    let text = match (completion.messages, completion.prompt) {
         (Some(messages), _) => {
             let parts = messages.into_iter().filter_map(|it| it.content);
             parts.map(|it| plain_text(&it)).collect::<Vec<_>>().join("\n")
@@ -195,8 +194,8 @@
         (None, Some(prompt)) => plain_text(&prompt),
         (None, None) => return Err(Refusal::BadBody),
     };
-    run.selector = Selector::Named(Kind::Model, it.model);
-    run.stream = it.stream;
+    run.selector = Selector::Named(Kind::Model, completion.model);
+    run.stream = completion.stream;
     run.prefix = Some(text.chars().take(prefix).collect());
     run.path = path.to_owned();
     Ok(())
@@ -211,7 +210,7 @@
 
 // Answers.
 
-/// The error body of the interface.
+/// Error body of the `OpenAI` API, with the additional fields `request_id` and `ran`.
 #[derive(Debug, Serialize)]
 struct ErrorBody<'a> {
     error: ErrorFields<'a>,
@@ -246,74 +245,79 @@
         request_id: label,
         ran: failure.ran.label(),
     };
-    // These fields always serialize.
+    // Serialization of these fields cannot fail.
     serde_json::to_string(&ErrorBody { error }).unwrap_or_default()
 }
 
-/// Seconds after which a caller may come back, for refusals that pass.
-fn retry_after(failure: Failure) -> Option<u32> {
+/// Returns the `Retry-After` value in seconds for temporary refusals.
+fn default_retry_after(failure: Failure) -> Option<u32> {
     match failure.reason {
-        // An owner comes back when its agent has been restarted.
+        // The owner of the key is available again once its agent has been restarted.
         Refusal::OwnerAway | Refusal::Leaving => Some(10),
-        // A key made from now on will do.
+        // Keys that are created from now on are accepted.
         Refusal::KeyUncertain => Some(30),
         it => matches!(it.status(), 429 | 503).then_some(1),
     }
 }
 
-/// The head of an answer of a target.
-pub fn head(label: &str, it: Head, stream: bool) -> Response<()> {
+/// Returns the head of a target's answer, with the fields that identify the request.
+pub fn head(label: &str, target_head: Head, stream: bool) -> Response<()> {
     let mut head = Response::new(());
-    *head.status_mut() = dialect::status(it.status);
+    *head.status_mut() = dialect::status(target_head.status);
     let fields = head.headers_mut();
-    dialect::add_fields(fields, &it);
+    dialect::add_fields(fields, &target_head);
     if stream {
         fields.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-cache"));
     }
-    if it.replayed {
+    if target_head.replayed {
         fields.insert(REPLAYED, HeaderValue::from_static("true"));
     }
-    name_request(fields, label, Ran::Ran);
+    add_request_fields(fields, label, Ran::Ran);
     head
 }
 
-fn name_request(fields: &mut HeaderMap, label: &str, ran: Ran) {
-    // The name is drawn here, in hex digits.
+fn add_request_fields(fields: &mut HeaderMap, label: &str, ran: Ran) {
+    // The label is a request id in hex digits, which is always valid.
     if let Ok(label) = HeaderValue::from_str(label) {
         fields.insert(REQUEST_ID, label);
     }
     fields.insert(RAN, HeaderValue::from_static(ran.label()));
 }
 
-/// The answer that there will be none.
-pub fn failure(label: &str, it: Failure, comeback: Option<Millis>) -> (Response<()>, Vec<u8>) {
+/// Returns head and body of an answer that reports a failure. `retry_after` is rounded up to
+/// seconds.
+pub fn failure(
+    label: &str,
+    failure: Failure,
+    retry_after: Option<Millis>,
+) -> (Response<()>, Vec<u8>) {
     let mut head = Response::new(());
-    *head.status_mut() = dialect::status(it.reason.status().into());
+    *head.status_mut() = dialect::status(failure.reason.status().into());
     let fields = head.headers_mut();
     fields.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    name_request(fields, label, it.ran);
-    let comeback = comeback.map(|it| it.div_ceil(1_000) as u32);
-    if let Some(seconds) = comeback.or(retry_after(it)) {
+    add_request_fields(fields, label, failure.ran);
+    let requested = retry_after.map(|ms| ms.div_ceil(1_000) as u32);
+    if let Some(seconds) = requested.or(default_retry_after(failure)) {
         fields.insert(header::RETRY_AFTER, seconds.into());
     }
-    (head, error_json(label, it).into_bytes())
+    (head, error_json(label, failure).into_bytes())
 }
 
-/// Ends a stream that broke: the status is long sent, so the failure is the
-/// last event, and no `[DONE]` follows.
-pub fn break_off(reply: &Reply, label: &str, it: Failure) {
-    let event = format!("data: {}\n\n", error_json(label, it));
+/// Ends an interrupted stream. Its status was already sent, so the failure is sent as the last
+/// event, without a `[DONE]` after it.
+pub fn abort_stream(reply: &Reply, label: &str, failure: Failure) {
+    let event = format!("data: {}\n\n", error_json(label, failure));
     reply.send(Part::Bytes(event.into_bytes()));
     reply.send(Part::End);
 }
 
-/// The list of models.
-pub fn models(reply: &Reply, names: &[String]) {
+/// Answers with the list of models of these qualified names.
+pub fn send_models(reply: &Reply, names: &[String]) {
     let data: Vec<serde_json::Value> = names
         .iter()
-        .map(|it| {
-            let owner = it.split('/').next().unwrap_or("");
-            serde_json::json!({ "id": it, "object": "model", "created": 0, "owned_by": owner })
+        .map(|name| {
+            let owner = name.split('/').next().unwrap_or("");
+            serde_json::json!({ "id": name, "object": "model", "created": 0, "owned_by": owner })
         })
         .collect();
     let list = serde_json::json!({ "object": "list", "data": data });
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -349,7 +349,7 @@
                 open.delivered_at = now;
                 open.time_to_first_byte = now.saturating_sub(open.run.arrived);
                 let stream = open.flight.request().stream;
-                self.settings.dialect.head(&open.run.reply, &open.run.label, head, stream);
+                self.settings.dialect.send_head(&open.run.reply, &open.run.label, head, stream);
             }
             Action::Deliver(bytes) => {
                 let pause = now.saturating_sub(open.delivered_at);
@@ -413,9 +413,9 @@
         }
         let (reply, label) = (&open.run.reply, &open.run.label);
         if open.head_sent {
-            self.settings.dialect.break_off(reply, label, failure);
+            self.settings.dialect.abort_answer(reply, label, failure);
         } else {
-            self.settings.dialect.fail(reply, label, failure, open.retry_after);
+            self.settings.dialect.send_failure(reply, label, failure, open.retry_after);
         }
     }
 
--- a/crates/sablepass-entry/src/routes.rs
+++ b/crates/sablepass-entry/src/routes.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The dialect of routes: requests pass unchanged, and so do answers.
+//! The dialect of declared routes. It passes requests and answers through unchanged; header fields
+//! that concern one connection are replaced by `sablepass_platform`.
 
 use http::header::{self, HeaderValue};
 use http::{Response, StatusCode};
@@ -17,26 +18,23 @@
 use crate::dialect::{self, Refused};
 use crate::openai::Options;
 
-/// Seconds after which a caller may come back when targets are full or the
-/// entry is: some requests end in that time, and it is within the patience of
-/// callers that wait half a second.
-const SOON: &str = "0.15";
-/// Seconds after which a caller may come back when no target is there, or
-/// this process knows nothing yet: about what a list takes to arrive.
-const LATER: &str = "0.4";
+/// `Retry-After` in seconds when the targets or the entry are at capacity: some requests complete
+/// in that time, and callers that wait for half a second can still retry.
+const RETRY_AFTER_FULL_S: &str = "0.15";
+/// `Retry-After` in seconds when there is no target, or this process has no configuration yet or is
+/// stopping: about the time until the next instance list arrives.
+const RETRY_AFTER_NO_TARGET_S: &str = "0.4";
+/// `Retry-After` in seconds while a group is not ready: a replaced rank returns in about that time,
+/// and callers wait before a retry for at most a third of their total time.
+const RETRY_AFTER_GROUP_S: &str = "2.4";
 
-/// Seconds after which a caller may come back while a group is not complete: a
-/// rank that was replaced is back in about that time, and callers wait for a
-/// third of their time at most.
-const REFORMED: &str = "2.4";
-
-/// Reads a request.
-pub fn parse(options: &Options, it: Incoming) -> Result<Call, Refused> {
+/// Parses a request.
+pub fn parse(options: &Options, incoming: Incoming) -> Result<Call, Refused> {
     let arrived = clock::now();
-    let head = match it.head {
-        Ok(it) => it,
+    let head = match incoming.head {
+        Ok(head) => head,
         Err(problem) => {
-            let reason = dialect::refusal(problem);
+            let reason = dialect::refusal_for(problem);
             return Err(Refused { label: String::new(), reason });
         }
     };
@@ -58,59 +56,65 @@
         prefix: None,
         path: String::new(),
         head,
-        body: it.body,
-        reply: it.reply,
+        body: incoming.body,
+        reply: incoming.reply,
     })))
 }
 
-/// The head of a target's answer, unchanged.
-pub fn head(it: Head) -> Response<()> {
+/// Returns the head of a target's answer, unchanged.
+pub fn head(target_head: Head) -> Response<()> {
     let mut head = Response::new(());
-    *head.status_mut() = dialect::status(it.status);
-    dialect::add_fields(head.headers_mut(), &it);
+    *head.status_mut() = dialect::status(target_head.status);
+    dialect::add_fields(head.headers_mut(), &target_head);
     head
 }
 
-/// An answer of this system's own.
-pub fn failure(label: &str, it: Failure, comeback: Option<Millis>) -> (Response<()>, Vec<u8>) {
+/// Returns head and body of an answer that reports a failure.
+pub fn failure(
+    label: &str,
+    failure: Failure,
+    retry_after: Option<Millis>,
+) -> (Response<()>, Vec<u8>) {
     let mut head = Response::new(());
-    let status = status(it);
+    let status = status(failure);
     *head.status_mut() = status;
     let fields = head.headers_mut();
     *fields = request::own_answer(label);
     fields.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    let usual = retry_after(it, status).map(str::to_owned);
-    let comeback = comeback.map(|it| format!("{}.{:03}", it / 1_000, it % 1_000));
-    let value = comeback.or(usual).and_then(|it| HeaderValue::try_from(it).ok());
-    if let Some(it) = value {
-        fields.insert(header::RETRY_AFTER, it);
+    let default = default_retry_after(failure, status).map(str::to_owned);
+    let seconds = retry_after.map(|ms| format!("{}.{:03}", ms / 1_000, ms % 1_000));
+    let value = seconds.or(default).and_then(|it| HeaderValue::try_from(it).ok());
+    if let Some(value) = value {
+        fields.insert(header::RETRY_AFTER, value);
     }
-    let body = format!("{}: {}\n", it.ran.label(), it.reason.label());
+    let body = format!("{}: {}\n", failure.ran.label(), failure.reason.label());
     (head, body.into_bytes())
 }
 
-/// Some statuses promise that the request has not run and never will. They
-/// are given only with proof; what may have run is a bad gateway's failure.
-fn status(it: Failure) -> StatusCode {
-    let status = dialect::status(it.reason.status().into());
-    let promises = matches!(
+/// Returns the status of a failure. Some statuses promise that the request did not run and never
+/// will, so that callers may safely retry it; if it may have run, the status is 502 instead.
+fn status(failure: Failure) -> StatusCode {
+    let status = dialect::status(failure.reason.status().into());
+    let promises_not_run = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE
             | StatusCode::TOO_MANY_REQUESTS
             | StatusCode::REQUEST_TIMEOUT
             | StatusCode::MISDIRECTED_REQUEST
     );
-    if promises && it.ran != Ran::NotRun { StatusCode::BAD_GATEWAY } else { status }
+    if promises_not_run && failure.ran != Ran::NotRun { StatusCode::BAD_GATEWAY } else { status }
 }
 
-fn retry_after(it: Failure, status: StatusCode) -> Option<&'static str> {
-    let passes = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
-    if !passes {
+/// Returns the `Retry-After` value for temporary refusals.
+fn default_retry_after(failure: Failure, status: StatusCode) -> Option<&'static str> {
+    let temporary =
+        matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
+    if !temporary {
         return None;
     }
-    Some(match it.reason {
-        Refusal::GroupClosed => REFORMED,
-        Refusal::NoTarget | Refusal::NoConfiguration | Refusal::Stopping => LATER,
-        _ => SOON,
+    Some(match failure.reason {
+        Refusal::GroupClosed => RETRY_AFTER_GROUP_S,
+        Refusal::NoTarget | Refusal::NoConfiguration | Refusal::Stopping => RETRY_AFTER_NO_TARGET_S,
+        _ => RETRY_AFTER_FULL_S,
     })
 }
