--- a/crates/sablepass-entry/src/pool.rs
+++ b/crates/sablepass-entry/src/pool.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Connections to targets that take requests straight from this entry. Each
-//! carries one request at a time; one that rests is used again.
+//! Pool of HTTP connections to targets that are reached directly. Each connection carries one
+//! request at a time and is reused. The router sends requests over it and handles its events.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,207 +12,211 @@
 use sablepass_edge::client::{self, Connection, Outgoing};
 use stakker::{ActorOwn, Core, Fwd, actor_new, call, ret_nop};
 
-/// How long a connection rests before it is closed, where its target does not
-/// say. Targets close resting connections after some seconds.
-const REST: Duration = Duration::from_secs(3);
-/// Time by which a connection is closed before its target would.
-const EARLY: Duration = Duration::from_millis(700);
-/// Connections that rest for one target.
-const RESTING: usize = 16;
+/// Time after which an idle connection is closed if its target announces no timeout. Targets close
+/// idle connections after some seconds.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time by which an idle connection is closed before the target's announced timeout.
+const IDLE_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum number of idle connections to one target.
+const MAX_IDLE_PER_TARGET: usize = 16;
 
-/// One connection, for as long as it lives.
+/// Identifies a connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionKey(u64);
 
-/// The request that a connection carries.
+/// The attempt of a request that is in flight on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightAttempt {
     /// The request.
     pub request: RequestId,
-    /// Its attempt.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Bytes of the answer so far.
+    /// Number of bytes of the answer's body received so far.
     pub offset: u64,
 }
 
-/// Where a connection goes.
+/// The target to connect to.
 #[derive(Clone, Copy, Debug)]
 pub struct Destination<'a> {
-    /// The target.
+    /// Name of the target.
     pub target: &'a str,
-    /// When its present life began.
+    /// Start time of its current incarnation.
     pub started_at: Millis,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub addr: SocketAddr,
 }
 
-struct Open {
+struct PooledConnection {
     connection: ActorOwn<Connection>,
     target: String,
-    /// When the life of the target began that it was made to.
-    born: Millis,
-    /// It stands.
+    /// Start time of the target's incarnation when the connection was opened.
+    started_at: Millis,
+    /// Whether the connection is established.
     connected: bool,
-    /// What is sent once it does, unless the target takes nothing more by then.
+    /// Request to be sent once the connection is established, unless the target accepts no requests
+    /// by then.
     waiting: Option<Outgoing>,
-    carried: Option<InFlightAttempt>,
-    /// When a connection that rests is closed.
-    until: Millis,
+    in_flight: Option<InFlightAttempt>,
+    /// When the connection is closed if it is idle.
+    idle_until: Millis,
 }
 
-/// The connections of an entry.
+/// All direct connections of an entry.
 pub struct Pool {
-    open: HashMap<ConnectionKey, Open>,
-    resting: HashMap<String, Vec<ConnectionKey>>,
-    next: u64,
+    connections: HashMap<ConnectionKey, PooledConnection>,
+    /// Idle connections by target, the one released last at the end.
+    idle: HashMap<String, Vec<ConnectionKey>>,
+    last_key: u64,
     events: Fwd<(ConnectionKey, client::Event)>,
 }
 
 impl Pool {
-    /// Opens a pool without connections, whose events go to `events`.
+    /// Creates a pool without connections. Events of its connections are sent to `events`.
     pub fn open(events: Fwd<(ConnectionKey, client::Event)>) -> Self {
-        Self { open: HashMap::new(), resting: HashMap::new(), next: 0, events }
+        Self { connections: HashMap::new(), idle: HashMap::new(), last_key: 0, events }
     }
 
-    /// A resting connection to a target, or a new one. `fresh` asks for a new
-    /// one: a resting one may die just as it is used, and then nobody knows
-    /// whether the request ran.
+    /// Returns an idle connection to a target, or a new one. `fresh` requires a new one, for unsafe
+    /// requests: an idle connection may be closed by the target while the request is sent, and then
+    /// it is unknown whether the request ran.
     pub fn acquire(&mut self, core: &mut Core, to: Destination<'_>, fresh: bool) -> ConnectionKey {
-        let resting = if fresh { None } else { self.resting.get_mut(to.target).and_then(Vec::pop) };
-        resting.unwrap_or_else(|| self.connect(core, to))
+        let idle = if fresh { None } else { self.idle.get_mut(to.target).and_then(Vec::pop) };
+        idle.unwrap_or_else(|| self.connect(core, to))
     }
 
     fn connect(&mut self, core: &mut Core, to: Destination<'_>) -> ConnectionKey {
-        self.next += 1;
-        let key = ConnectionKey(self.next);
+        self.last_key += 1;
+        let key = ConnectionKey(self.last_key);
         let events = self.events.clone();
-        let forward = Fwd::new(move |it| events.fwd((key, it)));
+        let forward = Fwd::new(move |event| events.fwd((key, event)));
         let connection = actor_new!(core, Connection, ret_nop!());
         let options = client::Options::default();
         call!([connection], Connection::init(to.addr, options, forward));
-        let it = Open {
+        let pooled = PooledConnection {
             connection,
             target: to.target.to_owned(),
-            born: to.started_at,
+            started_at: to.started_at,
             connected: false,
             waiting: None,
-            carried: None,
-            until: Millis::MAX,
+            in_flight: None,
+            idle_until: Millis::MAX,
         };
-        self.open.insert(key, it);
+        self.connections.insert(key, pooled);
         key
     }
 
-    /// Makes a connection that rests, to see whether the target takes any.
+    /// Opens an idle connection, to check whether the target accepts connections.
     pub fn probe(&mut self, core: &mut Core, now: Millis, to: Destination<'_>) {
         let key = self.connect(core, to);
         self.release(now, key, None);
     }
 
-    /// Sends a request, once the connection stands.
-    pub fn send(&mut self, key: ConnectionKey, carried: InFlightAttempt, it: Outgoing) {
-        let Some(open) = self.open.get_mut(&key) else { return };
-        open.carried = Some(carried);
-        open.until = Millis::MAX;
-        if open.connected {
-            call!([open.connection], send(it));
+    /// Sends a request, now or once the connection is established.
+    pub fn send(&mut self, key: ConnectionKey, attempt: InFlightAttempt, request: Outgoing) {
+        let Some(pooled) = self.connections.get_mut(&key) else { return };
+        pooled.in_flight = Some(attempt);
+        pooled.idle_until = Millis::MAX;
+        if pooled.connected {
+            call!([pooled.connection], send(request));
         } else {
-            open.waiting = Some(it);
+            pooled.waiting = Some(request);
         }
     }
 
-    /// Records that a connection stands. Whether a request waits for that.
+    /// Records that a connection is established. Returns whether a request waits for this.
     pub fn mark_connected(&mut self, key: ConnectionKey) -> bool {
-        let Some(open) = self.open.get_mut(&key) else { return false };
-        open.connected = true;
-        open.waiting.is_some()
+        let Some(pooled) = self.connections.get_mut(&key) else { return false };
+        pooled.connected = true;
+        pooled.waiting.is_some()
     }
 
-    /// Sends the request that waits.
+    /// Sends the request that waits for the connection.
     pub fn send_waiting(&mut self, key: ConnectionKey) {
-        let Some(open) = self.open.get_mut(&key) else { return };
-        if let Some(it) = open.waiting.take() {
-            call!([open.connection], send(it));
+        let Some(pooled) = self.connections.get_mut(&key) else { return };
+        if let Some(request) = pooled.waiting.take() {
+            call!([pooled.connection], send(request));
         }
     }
 
-    /// Takes back the request that waits; nothing of it has left.
+    /// Withdraws the request that waits for the connection; no part of it was sent.
     pub fn withdraw(&mut self, key: ConnectionKey) {
-        if let Some(open) = self.open.get_mut(&key) {
-            open.waiting = None;
+        if let Some(pooled) = self.connections.get_mut(&key) {
+            pooled.waiting = None;
         }
     }
 
-    /// Stops or goes on to read an answer.
+    /// Pauses or resumes the reading of an answer.
     pub fn pause(&self, key: ConnectionKey, paused: bool) {
-        if let Some(open) = self.open.get(&key) {
-            call!([open.connection], pause(paused));
+        if let Some(pooled) = self.connections.get(&key) {
+            call!([pooled.connection], pause(paused));
         }
     }
 
-    /// What a connection carries.
+    /// Returns the attempt that is in flight on a connection.
     pub fn in_flight(&mut self, key: ConnectionKey) -> Option<&mut InFlightAttempt> {
-        self.open.get_mut(&key).and_then(|it| it.carried.as_mut())
+        self.connections.get_mut(&key).and_then(|it| it.in_flight.as_mut())
     }
 
-    /// The target at the other end, in the life that the connection was made to.
+    /// Returns the target's incarnation to which a connection was opened.
     pub fn target(&self, key: ConnectionKey) -> Option<TargetIncarnation<'_>> {
-        self.open.get(&key).map(|it| TargetIncarnation { name: &it.target, started_at: it.born })
+        self.connections
+            .get(&key)
+            .map(|it| TargetIncarnation { name: &it.target, started_at: it.started_at })
     }
 
-    /// Leaves the request that a connection carries; the rest of the answer is
-    /// read and dropped.
+    /// Detaches the attempt from its connection. The rest of the answer is read and discarded.
     pub fn detach(&mut self, key: ConnectionKey) {
-        if let Some(open) = self.open.get_mut(&key) {
-            open.carried = None;
+        if let Some(pooled) = self.connections.get_mut(&key) {
+            pooled.in_flight = None;
         }
     }
 
-    /// Takes a connection back whose answer is whole.
-    pub fn release(&mut self, now: Millis, key: ConnectionKey, rest: Option<Duration>) {
-        let Some(open) = self.open.get_mut(&key) else { return };
-        open.carried = None;
-        let rest = rest.map_or(REST, |it| it.saturating_sub(EARLY));
-        open.until = now + rest.as_millis() as Millis;
-        let resting = self.resting.entry(open.target.clone()).or_default();
-        resting.push(key);
-        if resting.len() > RESTING {
-            let oldest = resting.remove(0);
-            self.open.remove(&oldest);
+    /// Makes a connection idle, so that it can be reused. `announced` is the idle timeout that
+    /// the target announced.
+    pub fn release(&mut self, now: Millis, key: ConnectionKey, announced: Option<Duration>) {
+        let Some(pooled) = self.connections.get_mut(&key) else { return };
+        pooled.in_flight = None;
+        let timeout = announced.map_or(IDLE_TIMEOUT, |it| it.saturating_sub(IDLE_MARGIN));
+        pooled.idle_until = now + timeout.as_millis() as Millis;
+        let idle = self.idle.entry(pooled.target.clone()).or_default();
+        idle.push(key);
+        if idle.len() > MAX_IDLE_PER_TARGET {
+            let oldest = idle.remove(0);
+            self.connections.remove(&oldest);
         }
     }
 
-    /// Closes a connection, which has its target drop what it carries.
+    /// Closes a connection. The target cancels a request that is in flight on it.
     pub fn close(&mut self, key: ConnectionKey) {
-        let Some(open) = self.open.remove(&key) else { return };
-        if let Some(resting) = self.resting.get_mut(&open.target) {
-            resting.retain(|it| *it != key);
+        let Some(pooled) = self.connections.remove(&key) else { return };
+        if let Some(idle) = self.idle.get_mut(&pooled.target) {
+            idle.retain(|it| *it != key);
         }
     }
 
-    /// Closes the resting connections of a target that is gone.
+    /// Closes the idle connections to a target, as when it is leaving, gone or restarted.
     pub fn close_idle(&mut self, target: &str) {
-        for key in self.resting.remove(target).unwrap_or_default() {
-            self.open.remove(&key);
+        for key in self.idle.remove(target).unwrap_or_default() {
+            self.connections.remove(&key);
         }
     }
 
-    /// Closes what has rested for long enough.
+    /// Closes the connections whose idle time is over.
     pub fn close_expired(&mut self, now: Millis) {
-        let open = &mut self.open;
-        for resting in self.resting.values_mut() {
-            resting.retain(|key| {
-                let keep = open.get(key).is_some_and(|it| now < it.until);
+        let connections = &mut self.connections;
+        for idle in self.idle.values_mut() {
+            idle.retain(|key| {
+                let keep = connections.get(key).is_some_and(|it| now < it.idle_until);
                 if !keep {
-                    open.remove(key);
+                    connections.remove(key);
                 }
                 keep
             });
         }
     }
 
-    /// Connections open now.
+    /// Returns the number of connections, idle ones included.
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.connections.len()
     }
 }
