--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router towards callers: what they ask for, and whether it is admitted.
+//! The router's side towards callers: handles events of the HTTP server and admits or refuses
+//! requests.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -27,15 +28,15 @@
 use crate::targets::Served;
 use crate::trace::Step;
 
-/// Requests that one caller without a key may hold at one entry: no bound of its own.
-const KEYLESS_STREAMS: u32 = u32::MAX;
+/// Limit of concurrent requests of callers without a key, which have no limit of their own.
+const KEYLESS_STREAM_LIMIT: u32 = u32::MAX;
 
-/// What admission found out about a request.
+/// Result of the admission of a request.
 struct Admitted {
-    /// The customer's qualified name; empty for a caller without a key.
+    /// Qualified name of the customer; empty for a caller without a key.
     customer: String,
-    /// The customer's name as targets are told it.
-    told: Option<String>,
+    /// Name of the customer that is sent to targets.
+    forwarded_customer: Option<String>,
     served: Served,
     route: Option<Rc<Route>>,
     priority: Priority,
@@ -43,13 +44,13 @@
 }
 
 impl Router {
-    /// Takes an event of the callers' server.
+    /// Handles an event of the HTTP server for callers.
     pub fn server_event(&mut self, cx: CX![], event: server::Event) {
         match event {
-            server::Event::Request(it) => self.request(cx, *it),
+            server::Event::Request(incoming) => self.request(cx, *incoming),
             server::Event::Gone(key) => match self.exchanges.get(&key).copied() {
                 Some(id) => self.handle_event(cx, id, 0, Event::CallerGone),
-                // The answer was whole; only its delivery failed.
+                // The answer was complete; only its delivery failed.
                 None => self.metrics.refused(Refusal::CallerGone),
             },
             server::Event::Full(key) => self.pause(key, true),
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Has the target's answer wait while the caller does not read.
+    /// Pauses or resumes reading the target's answer, as the caller does not read fast enough. Only
+    /// direct connections can be paused.
     fn pause(&self, key: server::ExchangeKey, paused: bool) {
         let open = self.exchanges.get(&key).and_then(|id| self.requests.get(id));
         if let Some(connection) = open.and_then(|it| it.connection) {
@@ -65,15 +67,16 @@
         }
     }
 
-    fn request(&mut self, cx: CX![], it: server::Incoming) {
-        let (exchange, reply) = (it.key, it.reply.clone());
-        match self.settings.dialect.parse(&self.options, it) {
+    fn request(&mut self, cx: CX![], incoming: server::Incoming) {
+        let (exchange, reply) = (incoming.key, incoming.reply.clone());
+        match self.settings.dialect.parse(&self.options, incoming) {
             Ok(Call::Run(run)) => self.run(cx, exchange, *run),
             Ok(Call::Models { key, reply }) => self.models(&key, &reply),
             Err(e) => self.refuse(&reply, &e.label, e.reason),
         }
     }
 
+    /// Answers with the models that are granted to the partner of a key's customer.
     fn models(&self, key: &str, reply: &server::Reply) {
         let catalogue = self.targets.catalogue();
         let Some(customer) = catalogue.keys.get(key).and_then(|it| catalogue.customers.get(it))
@@ -95,6 +98,7 @@
         openai::send_models(reply, &names);
     }
 
+    /// Refuses a request that was not admitted.
     fn refuse(&self, reply: &server::Reply, label: &str, reason: Refusal) {
         self.metrics.refused(reason);
         let revision = self.targets.catalogue().revision;
@@ -111,9 +115,9 @@
     fn run(&mut self, cx: CX![], exchange: server::ExchangeKey, run: Run) {
         let now = clock::now();
         match self.admit(now, &run) {
-            Ok(it) => {
+            Ok(admitted) => {
                 let id = run.id;
-                let open = self.open_request(now, exchange, run, it);
+                let open = self.open_request(now, exchange, run, admitted);
                 self.metrics.requests.inc();
                 self.budget(&open.served).earn();
                 self.exchanges.insert(exchange, id);
@@ -125,29 +129,33 @@
         }
     }
 
+    /// Creates the state of an admitted request.
     fn open_request(
         &mut self,
         now: Millis,
         exchange: server::ExchangeKey,
         run: Run,
-        it: Admitted,
+        admitted: Admitted,
     ) -> OpenRequest {
         let key = run.idempotency_key.as_ref().filter(|_| run.unsafe_repeat);
-        let key = key.map(|text| Key { customer: it.customer.clone(), text: text.clone() });
-        let request = self.flight_request(&run, it.route.as_deref(), key.is_some());
-        let step = Step::Admitted { customer: it.customer.clone(), serves: it.served.1.clone() };
+        let key = key.map(|text| Key { customer: admitted.customer.clone(), text: text.clone() });
+        let request = self.flight_request(&run, admitted.route.as_deref(), key.is_some());
+        let step = Step::Admitted {
+            customer: admitted.customer.clone(),
+            serves: admitted.served.1.clone(),
+        };
         self.traces.add(now, run.id, step);
         OpenRequest {
             flight: Flight::new(self.settings.flight_options(), request),
-            customer: it.customer,
-            forwarded_customer: it.told,
-            owner: key.and_then(|key| self.targets.owner(&it.served, &key)),
-            priority: it.priority,
+            customer: admitted.customer,
+            forwarded_customer: admitted.forwarded_customer,
+            owner: key.and_then(|key| self.targets.owner(&admitted.served, &key)),
+            priority: admitted.priority,
             run,
-            served: it.served,
-            route: it.route,
+            served: admitted.served,
+            route: admitted.route,
             exchange,
-            ticket: it.ticket,
+            ticket: admitted.ticket,
             waiting_since: None,
             slot: None,
             turn_requested: false,
@@ -165,8 +173,10 @@
         }
     }
 
+    /// Returns the properties for the request's state machine: those of the caller's request, unless
+    /// its route declares others.
     fn flight_request(&self, run: &Run, route: Option<&Route>, keyed: bool) -> flight::Request {
-        let own = flight::Request {
+        let requested = flight::Request {
             id: run.id,
             deadline: run.deadline,
             max_attempts: self.settings.attempts,
@@ -175,17 +185,18 @@
             stream: run.stream,
             resumable: false,
         };
-        let Some(route) = route else { return own };
+        let Some(route) = route else { return requested };
         flight::Request {
             deadline: run.deadline.min(run.arrived + route.timeout),
             max_attempts: route.attempts,
             unsafe_repeat: route.at_most_once(),
             stream: route.class == Class::Stream,
             resumable: route.class == Class::Stream && route.resume,
-            ..own
+            ..requested
         }
     }
 
+    /// Admits a request, or returns the reason for refusing it.
     fn admit(&mut self, now: Millis, run: &Run) -> Result<Admitted, Refusal> {
         let wait = self.settings.stop_wait;
         if self.stopping_since.is_some_and(|since| now >= since + wait) {
@@ -234,7 +245,7 @@
             load: room.load,
         })?;
         Ok(Admitted {
-            told: Some(customer.clone()),
+            forwarded_customer: Some(customer.clone()),
             customer,
             served,
             route: None,
@@ -250,15 +261,15 @@
         catalogue: &Catalogue,
         route: &Rc<Route>,
     ) -> Result<Admitted, Refusal> {
-        let known = customer_of(catalogue, run)?;
-        if known.is_none() && !route.open {
+        let declared = customer_of(catalogue, run)?;
+        if declared.is_none() && !route.open {
             return Err(Refusal::UnknownKey);
         }
         let service = route.pick(self.rng.random()).ok_or(Refusal::NoTarget)?;
         let served = (Kind::Service, service.to_owned());
         let room = self.targets.room(now, &served);
         let priority = Priority::default();
-        let (customer, partner, streams, share, told) = match &known {
+        let (customer, partner, streams, share, forwarded_customer) = match &declared {
             Some((name, it)) => {
                 let share = share(catalogue, it);
                 (
@@ -269,7 +280,7 @@
                     Some(&it.resource.name),
                 )
             }
-            None => ("", "", KEYLESS_STREAMS, 1.0, None),
+            None => ("", "", KEYLESS_STREAM_LIMIT, 1.0, None),
         };
         let ticket = self.admission.admit(&admit::Ask {
             customer,
@@ -285,7 +296,7 @@
         })?;
         Ok(Admitted {
             customer: customer.to_owned(),
-            told: told.cloned(),
+            forwarded_customer: forwarded_customer.cloned(),
             served,
             route: Some(route.clone()),
             priority,
@@ -294,7 +305,8 @@
     }
 }
 
-/// The customer whose key a request carries; none if it carries no key.
+/// Returns the customer of a request's API key with its qualified name, or none if the request has
+/// no key. An unknown key is refused.
 fn customer_of<'a>(
     catalogue: &'a Catalogue,
     run: &Run,
@@ -305,9 +317,9 @@
     Ok(Some((name.clone(), customer)))
 }
 
-/// A customer's part of the shares of its partner's customers.
-fn share(catalogue: &Catalogue, it: &Declared<Customer>) -> f64 {
-    let peers = catalogue.customers.values().filter(|other| other.partner == it.partner);
+/// Returns a customer's fraction of the shares of all customers of its partner, 0 to 1.
+fn share(catalogue: &Catalogue, customer: &Declared<Customer>) -> f64 {
+    let peers = catalogue.customers.values().filter(|other| other.partner == customer.partner);
     let shares: u64 = peers.map(|it| u64::from(it.resource.share)).sum();
-    f64::from(it.resource.share) / shares.max(1) as f64
+    f64::from(customer.resource.share) / shares.max(1) as f64
 }
