--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router towards targets that take requests straight: what it sends, and
-//! what their answers prove.
+//! The router's side towards targets that are reached directly: sends attempts over connections of
+//! the pool, and derives from the answers what happened to the request.
 
 use sablepass_core::flight::{Event, Head};
 use sablepass_core::id::{AttemptId, Millis, RequestId, TargetIncarnation};
@@ -19,16 +19,16 @@
 use crate::pool::{ConnectionKey, Destination, InFlightAttempt};
 use crate::router::Router;
 
-/// How long a target is left alone that refused a connection.
-const REST_AWAY: Millis = 400;
-/// How long a target is left alone that was full: about one pass of its work.
-const REST_FULL: Millis = 40;
-/// How long a target is left alone whose address another one has: longer than
-/// the instance list takes to say so.
-const REST_MISDIRECTED: Millis = 5_000;
+/// Back-off of a target that closed or refused a connection before a request was sent on it.
+const BACK_OFF_REFUSED: Millis = 400;
+/// Back-off of a target that was at capacity: about one forward pass.
+const BACK_OFF_FULL: Millis = 40;
+/// Back-off of a target at whose address another target answered: longer than it takes until the
+/// instance list shows the change.
+const BACK_OFF_MISDIRECTED: Millis = 5_000;
 
 impl Router {
-    /// Sends an attempt straight to a target.
+    /// Sends an attempt directly to a target. An unsafe request gets a new connection.
     pub(crate) fn send_direct(
         &mut self,
         cx: CX![],
@@ -37,10 +37,10 @@
         to: Destination<'_>,
     ) {
         let Some(open) = self.requests.get_mut(&attempt.request) else { return };
-        let head = match direct_head(now, open, to.target) {
-            Ok(it) => it,
+        let head = match request_head(now, open, to.target) {
+            Ok(head) => head,
             Err(e) => {
-                slog::warn!(self.log, "request cannot be passed on"; "id" => &open.run.label,
+                slog::warn!(self.log, "request cannot be forwarded"; "id" => &open.run.label,
                     "error" => %e);
                 self.handle_event(cx, attempt.request, 0, Event::Refused(Refusal::BadHeader));
                 return;
@@ -48,37 +48,38 @@
         };
         let fresh = open.flight.request().unsafe_repeat;
         let key = self.pool.acquire(cx, to, fresh);
-        let carried =
+        let in_flight =
             InFlightAttempt { request: attempt.request, attempt: attempt.number, offset: 0 };
         let body = open.run.body.clone();
         let outgoing = Outgoing { head, body, echo: Some(request::REQUEST_ID) };
         open.connection = Some(key);
-        self.pool.send(key, carried, outgoing);
+        self.pool.send(key, in_flight, outgoing);
     }
 
-    /// Takes an event of a connection to a target.
+    /// Handles an event of a direct connection.
     pub fn direct_event(&mut self, cx: CX![], (key, event): (ConnectionKey, client::Event)) {
         match event {
             client::Event::Connected => self.direct_connected(cx, key),
-            client::Event::Head(head) => self.direct_answer(cx, key, &head),
+            client::Event::Head(head) => self.direct_head(cx, key, &head),
             client::Event::Bytes(data) => {
-                let Some(carried) = self.pool.in_flight(key) else { return };
-                let offset = carried.offset;
-                carried.offset += data.len() as u64;
-                let (id, attempt) = (carried.request, carried.attempt);
+                let Some(in_flight) = self.pool.in_flight(key) else { return };
+                let offset = in_flight.offset;
+                in_flight.offset += data.len() as u64;
+                let (id, attempt) = (in_flight.request, in_flight.attempt);
                 self.handle_event(cx, id, attempt, Event::Chunk { offset, data });
             }
-            client::Event::End { reusable, rest } => {
+            client::Event::End { reusable, rest: idle_timeout } => {
                 let now = clock::now();
-                let carried = self.pool.in_flight(key).copied();
-                let leaves = self.pool.target(key).is_some_and(|it| self.targets.has_left(now, it));
-                if reusable && !leaves {
-                    self.pool.release(now, key, rest);
+                let in_flight = self.pool.in_flight(key).copied();
+                let leaving =
+                    self.pool.target(key).is_some_and(|it| self.targets.has_left(now, it));
+                if reusable && !leaving {
+                    self.pool.release(now, key, idle_timeout);
                 } else {
                     self.pool.close(key);
                 }
-                if let Some(it) = carried {
-                    self.left(it.request, key);
+                if let Some(it) = in_flight {
+                    self.clear_connection(it.request, key);
                     let done = Event::Done { length: it.offset };
                     self.handle_event(cx, it.request, it.attempt, done);
                 }
@@ -87,7 +88,8 @@
         }
     }
 
-    fn left(&mut self, id: RequestId, key: ConnectionKey) {
+    /// Records that a request no longer uses a connection.
+    fn clear_connection(&mut self, id: RequestId, key: ConnectionKey) {
         if let Some(open) = self.requests.get_mut(&id)
             && open.connection == Some(key)
         {
@@ -95,22 +97,24 @@
         }
     }
 
-    fn direct_answer(&mut self, cx: CX![], key: ConnectionKey, head: &http::Response<()>) {
-        let Some(carried) = self.pool.in_flight(key).copied() else { return };
+    /// Handles the head of an answer: records what it says of the target, and passes the head, or the
+    /// refusal or failure that it means, to the request's state machine.
+    fn direct_head(&mut self, cx: CX![], key: ConnectionKey, head: &http::Response<()>) {
+        let Some(in_flight) = self.pool.in_flight(key).copied() else { return };
         let now = clock::now();
         let meta = answer::decode(now, head);
-        let Some(life) = self.pool.target(key) else { return };
-        let (target, born) = (life.name.to_owned(), life.started_at);
+        let Some(incarnation) = self.pool.target(key) else { return };
+        let (target, started_at) = (incarnation.name.to_owned(), incarnation.started_at);
         if meta.leaving
             && self.target_leaves(
                 now,
-                TargetIncarnation { name: &target, started_at: born },
+                TargetIncarnation { name: &target, started_at },
                 Source::Seen,
             )
         {
-            self.tell_leaving(TargetIncarnation { name: &target, started_at: born });
+            self.tell_leaving(TargetIncarnation { name: &target, started_at });
         }
-        self.check_wishes(now, carried, TargetIncarnation { name: &target, started_at: born });
+        self.check_wishes(now, in_flight, TargetIncarnation { name: &target, started_at });
         if let Some(load) = meta.load {
             self.targets.told(now, &target, load.running + load.waiting);
         }
@@ -120,68 +124,70 @@
         }
         self.names_limit(
             now,
-            carried,
-            TargetIncarnation { name: &target, started_at: born },
+            in_flight,
+            TargetIncarnation { name: &target, started_at },
             meta.limit,
         );
         if meta.rest != Rest::None || meta.proof != Proof::None {
             self.turned_away(
                 now,
-                carried,
-                TargetIncarnation { name: &target, started_at: born },
+                in_flight,
+                TargetIncarnation { name: &target, started_at },
                 status,
                 &meta,
             );
         }
-        // Statuses that promise that nothing ran need the target's own word for it.
+        // These statuses promise that the request did not run. This is not believed without the
+        // target's own proof.
         let unproven = matches!(status, 408 | 429 | 503);
         let event = match meta.proof {
             Proof::NotRun => {
-                self.targets.refused(now, &target, now + REST_FULL);
+                self.targets.refused(now, &target, now + BACK_OFF_FULL);
                 Event::Refused(Refusal::TargetFull)
             }
             Proof::Misdirected => {
-                self.targets.misdirected(&target, now + REST_MISDIRECTED);
+                self.targets.misdirected(&target, now + BACK_OFF_MISDIRECTED);
                 Event::Refused(Refusal::Misdirected)
             }
-            Proof::None if unproven => failed(Refusal::EngineBroke),
+            Proof::None if unproven => failed_unproven(Refusal::EngineBroke),
             Proof::None if meta.encoded || (head.status().is_success() && !meta.signed) => {
-                failed(Refusal::WrongAnswer)
+                failed_unproven(Refusal::WrongAnswer)
             }
             Proof::None => {
                 match head.status() {
-                    it if it.is_server_error() => self.target_failed(now, &target),
-                    it if it.is_success() => self.targets.sound(&target),
+                    code if code.is_server_error() => self.record_failure(now, &target),
+                    code if code.is_success() => self.targets.sound(&target),
                     _ => {}
                 }
                 let fields = answer::forward(head.headers());
                 let head = Head { status: status.into(), fields, replayed: false };
-                self.handle_event(cx, carried.request, carried.attempt, Event::Head(head));
+                self.handle_event(cx, in_flight.request, in_flight.attempt, Event::Head(head));
                 return;
             }
         };
-        self.left(carried.request, key);
+        self.clear_connection(in_flight.request, key);
         if let Event::Failed(_) = &event {
-            self.target_failed(now, &target);
+            self.record_failure(now, &target);
         }
         match &event {
-            // The rest of the answer is read, and the connection used again.
+            // The rest of the answer is discarded, and the connection is reused.
             Event::Refused(_) => self.pool.detach(key),
             _ => self.pool.close(key),
         }
-        self.handle_event(cx, carried.request, carried.attempt, event);
+        self.handle_event(cx, in_flight.request, in_flight.attempt, event);
     }
 
-    /// A connection stands for which a request may wait: the last moment at which the
-    /// target's wish to be left alone can be heeded.
+    /// Handles an established connection: sends the request that waits for it. If the target no
+    /// longer accepts requests, the request is withdrawn instead. This is the last moment at which
+    /// an announcement of the target can be taken into account.
     fn direct_connected(&mut self, cx: CX![], key: ConnectionKey) {
         if !self.pool.mark_connected(key) {
             return;
         }
         let now = clock::now();
-        let carried = self.pool.in_flight(key).copied();
+        let in_flight = self.pool.in_flight(key).copied();
         let sent =
-            carried.and_then(|it| self.requests.get(&it.request)).map_or(now, |it| it.sent_at);
+            in_flight.and_then(|it| self.requests.get(&it.request)).map_or(now, |it| it.sent_at);
         let admits = self.pool.target(key).is_some_and(|it| self.targets.admits(now, it, sent));
         if admits {
             self.pool.send_waiting(key);
@@ -193,48 +199,51 @@
             self.pool.withdraw(key);
             self.pool.release(now, key, None);
         }
-        if let Some(it) = carried {
-            self.left(it.request, key);
+        if let Some(it) = in_flight {
+            self.clear_connection(it.request, key);
             self.handle_event(cx, it.request, it.attempt, Event::Unsent);
         }
     }
 
-    fn target_failed(&mut self, now: Millis, target: &str) {
-        if let Some(rest) = self.targets.failed(now, target) {
-            slog::warn!(self.log, "target left alone"; "target" => target, "for" => rest,
-                "why" => "it failed several requests in a row");
+    /// Records a failure of a target, which may back it off.
+    fn record_failure(&mut self, now: Millis, target: &str) {
+        if let Some(back_off) = self.targets.failed(now, target) {
+            slog::warn!(self.log, "target backed off"; "target" => target, "for" => back_off,
+                "why" => "several requests failed in a row");
         }
     }
 
+    /// Handles the end of a connection. `sent` is whether a part of the current request was sent: only
+    /// if none was, the request provably did not run.
     fn direct_closed(&mut self, cx: CX![], key: ConnectionKey, cause: &client::Cause, sent: bool) {
-        let carried = self.pool.in_flight(key).copied();
+        let in_flight = self.pool.in_flight(key).copied();
         let target = self.pool.target(key).map_or_else(String::new, |it| it.name.to_owned());
         self.pool.close(key);
         if cause.is_refused() {
             self.target_refuses(cx, &target);
         }
-        let Some(carried) = carried else { return };
-        self.left(carried.request, key);
-        if let Some(open) = self.requests.get(&carried.request) {
+        let Some(in_flight) = in_flight else { return };
+        self.clear_connection(in_flight.request, key);
+        if let Some(open) = self.requests.get(&in_flight.request) {
             slog::info!(self.log, "target broke off"; "id" => &open.run.label, "target" => &target,
-                "attempt" => carried.attempt, "sent" => sent, "bytes" => carried.offset,
+                "attempt" => in_flight.attempt, "sent" => sent, "bytes" => in_flight.offset,
                 "fingerprint" => %open.fingerprint(), "cause" => %cause);
         }
         if sent && cause.is_end() {
-            self.broke_off(cx, carried.request, &target);
+            self.broke_off(cx, in_flight.request, &target);
         }
         let event = if sent {
-            self.target_failed(clock::now(), &target);
-            failed(Refusal::EngineBroke)
+            self.record_failure(clock::now(), &target);
+            failed_unproven(Refusal::EngineBroke)
         } else {
-            self.targets.leave_alone(&target, clock::now() + REST_AWAY);
+            self.targets.leave_alone(&target, clock::now() + BACK_OFF_REFUSED);
             Event::Refused(Refusal::EngineAway)
         };
-        self.handle_event(cx, carried.request, carried.attempt, event);
+        self.handle_event(cx, in_flight.request, in_flight.attempt, event);
     }
 
-    /// Closes the connection of an attempt that nobody wants, so that the
-    /// target drops it.
+    /// Closes the connection of a request's current attempt, so that the target cancels it. Returns
+    /// false if the request uses no direct connection.
     pub(crate) fn cancel_direct(&mut self, id: RequestId) -> bool {
         let connection = self.requests.get_mut(&id).and_then(|it| it.connection.take());
         let Some(key) = connection else { return false };
@@ -243,12 +252,14 @@
     }
 }
 
-/// It may have run: nothing proves the contrary.
-fn failed(reason: Refusal) -> Event {
+/// Returns the failure of an attempt that may have run, as there is no proof that it did not.
+fn failed_unproven(reason: Refusal) -> Event {
     Event::Failed(Failure { reason, ran: Ran::Unknown })
 }
 
-fn direct_head(
+/// Returns the head of a request as it is sent to a target, or an error if a header field cannot be
+/// encoded.
+fn request_head(
     now: Millis,
     open: &OpenRequest,
     target: &str,
