--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -270,14 +270,14 @@
         let room = self.targets.room(now, &served);
         let priority = Priority::default();
         let (customer, partner, streams, share, forwarded_customer) = match &declared {
-            Some((name, it)) => {
-                let share = share(catalogue, it);
+            Some((name, customer)) => {
+                let share = share(catalogue, customer);
                 (
                     name.as_str(),
-                    it.partner.as_str(),
-                    it.resource.streams,
+                    customer.partner.as_str(),
+                    customer.resource.streams,
                     share,
-                    Some(&it.resource.name),
+                    Some(&customer.resource.name),
                 )
             }
             None => ("", "", KEYLESS_STREAM_LIMIT, 1.0, None),
