--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -43,11 +43,11 @@
         let members = self.targets.members();
         let targets: Vec<serde_json::Value> = members
             .iter()
-            .map(|(name, it)| {
+            .map(|(name, member)| {
                 serde_json::json!({
                     "target": name, "usable": members.usable(now, name).is_some(),
-                    "leaving": it.leaving, "in_flight": it.report.in_flight, "own": it.own,
-                    "silent_ms": now.saturating_sub(it.heartbeat_at),
+                    "leaving": member.leaving, "in_flight": member.report.in_flight, "own": member.own,
+                    "silent_ms": now.saturating_sub(member.heartbeat_at),
                 })
             })
             .collect();
