--- a/crates/sablepass-entry/src/trace.rs
+++ b/crates/sablepass-entry/src/trace.rs
@@ -111,12 +111,12 @@
         Step::Turn { target, wait } => {
             serde_json::json!({ "at": at, "step": "turn", "target": target, "wait": wait })
         }
-        Step::Retried(it) => {
-            serde_json::json!({ "at": at, "step": "retried", "reason": it.label() })
+        Step::Retried(reason) => {
+            serde_json::json!({ "at": at, "step": "retried", "reason": reason.label() })
         }
         Step::Answered => serde_json::json!({ "at": at, "step": "answered" }),
-        Step::Failed(it) => serde_json::json!({
-            "at": at, "step": "failed", "reason": it.reason.label(), "ran": it.ran.label(),
+        Step::Failed(failure) => serde_json::json!({
+            "at": at, "step": "failed", "reason": failure.reason.label(), "ran": failure.ran.label(),
         }),
     }
 }
