--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -111,7 +111,7 @@
         }
         self.check_wishes(now, carried, TargetIncarnation { name: &target, started_at: born });
         if let Some(load) = meta.load {
-            self.targets.told(now, &target, load.running + load.waiting);
+            self.targets.record_load(now, &target, load.running + load.waiting);
         }
         let status = head.status().as_u16();
         for field in answer::unread(head.headers()) {
@@ -136,11 +136,11 @@
         let unproven = matches!(status, 408 | 429 | 503);
         let event = match meta.proof {
             Proof::NotRun => {
-                self.targets.refused(now, &target, now + REST_FULL);
+                self.targets.record_refusal(now, &target, now + REST_FULL);
                 Event::Refused(Refusal::TargetFull)
             }
             Proof::Misdirected => {
-                self.targets.misdirected(&target, now + REST_MISDIRECTED);
+                self.targets.record_misdirected(&target, now + REST_MISDIRECTED);
                 Event::Refused(Refusal::Misdirected)
             }
             Proof::None if unproven => failed(Refusal::EngineBroke),
@@ -150,7 +150,7 @@
             Proof::None => {
                 match head.status() {
                     it if it.is_server_error() => self.target_failed(now, &target),
-                    it if it.is_success() => self.targets.sound(&target),
+                    it if it.is_success() => self.targets.record_success(&target),
                     _ => {}
                 }
                 let fields = answer::forward(head.headers());
@@ -198,7 +198,7 @@
     }
 
     fn target_failed(&mut self, now: Millis, target: &str) {
-        if let Some(rest) = self.targets.failed(now, target) {
+        if let Some(rest) = self.targets.record_failure(now, target) {
             slog::warn!(self.log, "target left alone"; "target" => target, "for" => rest,
                 "why" => "it failed several requests in a row");
         }
@@ -225,7 +225,7 @@
             self.target_failed(clock::now(), &target);
             failed(Refusal::EngineBroke)
         } else {
-            self.targets.leave_alone(&target, clock::now() + REST_AWAY);
+            self.targets.back_off(&target, clock::now() + REST_AWAY);
             Event::Refused(Refusal::EngineAway)
         };
         self.event(cx, carried.request, carried.attempt, event);
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -133,7 +133,7 @@
     /// Believes what other entries told of limits, once nothing has spoken against it for a
     /// while, and says how much all limits allow.
     pub(crate) fn settle_limits(&mut self, now: Millis) {
-        for (name, change) in self.targets.settle_limits(now) {
+        for (name, change) in self.targets.apply_pending_limits(now) {
             let born = self.targets.born(&name);
             self.limit_changed(
                 TargetIncarnation { name: &name, started_at: born },
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -205,7 +205,7 @@
             // Leaving is for good; what says otherwise was sent before.
             self.metrics.ignored(Ignored::LateHeartbeat);
         }
-        self.targets.heard(now, &name, report);
+        self.targets.record_heartbeat(now, &name, report);
         self.reported_limit(now, &name, report.limit);
         if report.refuses {
             self.target_refuses(cx, &name);
@@ -236,8 +236,10 @@
             return;
         }
         match &event {
-            Event::Refused(Refusal::Leaving) => self.targets.leave(from),
-            Event::Failed(it) if it.reason == Refusal::EngineAway => self.targets.away(from),
+            Event::Refused(Refusal::Leaving) => self.targets.mark_leaving(from),
+            Event::Failed(it) if it.reason == Refusal::EngineAway => {
+                self.targets.refused_connection(from)
+            }
             Event::Failed(it) if it.reason == Refusal::EngineBroke => {
                 self.broke_off(cx, attempt.request, from);
             }
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -324,34 +324,34 @@
     }
 
     /// Records a heartbeat.
-    pub fn heard(&mut self, now: Millis, name: &str, report: Report) {
+    pub fn record_heartbeat(&mut self, now: Millis, name: &str, report: Report) {
         self.members.record_heartbeat(now, name, report);
     }
 
     /// Records that an agent said it is leaving.
-    pub fn leave(&mut self, name: &str) {
+    pub fn mark_leaving(&mut self, name: &str) {
         self.members.mark_leaving(name);
     }
 
     /// Records that a target refused its agent's connection.
-    pub fn away(&mut self, name: &str) {
+    pub fn refused_connection(&mut self, name: &str) {
         self.members.refused_connection(name);
     }
 
     /// Records what a target told of its load.
-    pub fn told(&mut self, now: Millis, name: &str, requests: u32) {
+    pub fn record_load(&mut self, now: Millis, name: &str, requests: u32) {
         self.members.record_load(now, name, requests);
     }
 
     /// Records that a target is better left alone until `until`.
-    pub fn leave_alone(&mut self, name: &str, until: Millis) {
+    pub fn back_off(&mut self, name: &str, until: Millis) {
         self.members.back_off(name, until);
     }
 
     /// Records that another target answered at the address of this one, which
     /// is left alone until `until`.
-    pub fn misdirected(&mut self, name: &str, until: Millis) {
-        self.leave_alone(name, until);
+    pub fn record_misdirected(&mut self, name: &str, until: Millis) {
+        self.back_off(name, until);
         if let Some(it) = self.listed.get_mut(name) {
             it.misdirected = true;
             self.find_replaced();
@@ -359,14 +359,14 @@
     }
 
     /// Records that a target answered a request as it should.
-    pub fn sound(&mut self, name: &str) {
+    pub fn record_success(&mut self, name: &str) {
         self.members.record_success(name);
     }
 
     /// Records that a target failed a request. After some in a row it is left
     /// alone, while most of those that serve the same are not; returns for how
     /// long.
-    pub fn failed(&mut self, now: Millis, name: &str) -> Option<Millis> {
+    pub fn record_failure(&mut self, now: Millis, name: &str) -> Option<Millis> {
         let rest = self.members.record_failure(name)?;
         let serves = self.listed.get(name)?.instance.serves.clone();
         let names = self.serving.get(&(Kind::Service, serves))?;
@@ -377,7 +377,7 @@
         if names.iter().filter(alone).count() * 2 >= names.len() {
             return None;
         }
-        self.leave_alone(name, now + rest);
+        self.back_off(name, now + rest);
         Some(rest)
     }
 
--- a/crates/sablepass-entry/src/targets/groups.rs
+++ b/crates/sablepass-entry/src/targets/groups.rs
@@ -212,8 +212,8 @@
     /// Records that a target ran nothing of what it was sent, and is left alone
     /// until `until`. Before its agent was heard that may mean that its group
     /// is closed.
-    pub fn refused(&mut self, now: Millis, name: &str, until: Millis) {
-        self.leave_alone(name, until);
+    pub fn record_refusal(&mut self, now: Millis, name: &str, until: Millis) {
+        self.back_off(name, until);
         let unheard = self.members.get(name).is_some_and(|it| !it.reported);
         if let Some(it) = self.listed.get(name).filter(|_| unheard && self.is_young(now)) {
             self.suspects.insert(it.instance.serves.clone());
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -22,7 +22,7 @@
     }
 
     /// Records that this process did not run for a while.
-    pub fn slept(&mut self, now: Millis) {
+    pub fn resumed(&mut self, now: Millis) {
         self.holders.resumed(now);
         self.notices.update_shares(now, &self.holders);
     }
@@ -65,7 +65,7 @@
     }
 
     /// Believes what was told of limits, where nothing speaks against it. What changed.
-    pub fn settle_limits(&mut self, now: Millis) -> Vec<(String, Change)> {
+    pub fn apply_pending_limits(&mut self, now: Millis) -> Vec<(String, Change)> {
         self.notices.apply_pending(now, &self.holders)
     }
 
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -21,7 +21,7 @@
         if let Some(slept) = self.sleep.look(now) {
             slog::warn!(self.log, "slept"; "for" => slept, "requests" => self.open.len());
             self.metrics.sleeps.inc();
-            self.targets.slept(now);
+            self.targets.resumed(now);
         }
         for peer in self.targets.silent(now) {
             call!([self.mesh], drop_peer(peer));
