--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -32,7 +32,7 @@
                 if let Some(it) = catalogue.limits {
                     call!([self.server], limit(limits(it)));
                 }
-                self.targets.declare(catalogue);
+                self.targets.set_catalogue(catalogue);
                 self.want(cx);
                 self.tell_bounds();
             }
@@ -50,7 +50,7 @@
                 self.want(cx);
             }
             mesh::Event::Entries(names) => {
-                self.targets.meet(names);
+                self.targets.set_peers(names);
                 self.count_entries();
             }
         }
@@ -99,7 +99,7 @@
     }
 
     pub(crate) fn want(&mut self, _cx: CX![]) {
-        let wanted = self.targets.wanted(clock::now());
+        let wanted = self.targets.wanted_peers(clock::now());
         call!([self.mesh], want(wanted));
     }
 
@@ -115,11 +115,11 @@
         };
         let held = self.watch.held(clock::now());
         held.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
-        if self.targets.beside(peer, endpoint) {
+        if self.targets.listed_agent_connected(peer, endpoint) {
             self.bounds().into_iter().for_each(|it| call!([self.mesh], send(peer, it)));
             return;
         }
-        self.targets.up(clock::now(), peer, &it.name, it.incarnation);
+        self.targets.agent_connected(clock::now(), peer, &it.name, it.incarnation);
         slog::info!(self.log, "target up"; "target" => &it.name);
         for id in self.requests_at(&it.name) {
             self.event(cx, id, 0, Event::LinkUp(it.incarnation));
@@ -140,7 +140,7 @@
     /// large the configuration is.
     fn tell_bounds(&self) {
         for body in self.bounds() {
-            for peer in self.targets.agents() {
+            for peer in self.targets.listed_agents() {
                 call!([self.mesh], send(peer, body.clone()));
             }
         }
@@ -148,7 +148,7 @@
 
     fn down(&mut self, cx: CX![], peer: PeerKey) {
         self.watch.down(peer);
-        let Some(name) = self.targets.down(peer) else {
+        let Some(name) = self.targets.agent_disconnected(peer) else {
             return;
         };
         slog::info!(self.log, "target down"; "target" => &name);
@@ -171,7 +171,7 @@
             Body::TurnAnswer(it) => return self.turn_answered(cx, &it),
             other => other,
         };
-        let Some(name) = self.targets.name(peer).map(str::to_owned) else {
+        let Some(name) = self.targets.target_name(peer).map(str::to_owned) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
@@ -188,15 +188,15 @@
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
-        if let Some(began) = self.targets.heard_beside(now, peer, report) {
+        if let Some(began) = self.targets.record_listed_heartbeat(now, peer, report) {
             began.iter().for_each(|it| self.relieve(cx, it));
             if report.refuses {
-                let refusing = self.targets.beside_agent(peer);
+                let refusing = self.targets.targets_of_agent(peer);
                 refusing.iter().for_each(|it| self.target_refuses(cx, it));
             }
             return;
         }
-        let Some(name) = self.targets.name(peer).map(str::to_owned) else {
+        let Some(name) = self.targets.target_name(peer).map(str::to_owned) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -261,7 +261,7 @@
         }
         let Some(held) = self.watch.held(now) else { return };
         let body = held.body();
-        for peer in self.targets.keepers(&it.to_string()) {
+        for peer in self.targets.replica_agents(&it.to_string()) {
             call!([self.mesh], send(peer, body.clone()));
         }
     }
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -200,14 +200,14 @@
     }
 
     /// Takes a new catalogue.
-    pub fn declare(&mut self, catalogue: Rc<Catalogue>) {
+    pub fn set_catalogue(&mut self, catalogue: Rc<Catalogue>) {
         self.catalogue = catalogue;
         self.index();
     }
 
     /// The processes to be connected to: agents of declared targets, and those
     /// beside listed ones that are ranks of a group.
-    pub fn wanted(&mut self, now: Millis) -> Vec<Wanted> {
+    pub fn wanted_peers(&mut self, now: Millis) -> Vec<Wanted> {
         self.owners.retain(|_, until| *until > now);
         let declared = self.subsets.values().flatten().chain(self.owners.keys());
         let declared = declared.filter(|it| self.catalogue.targets.contains_key(*it));
@@ -236,13 +236,13 @@
     }
 
     /// Connections to the agents beside listed targets.
-    pub fn agents(&self) -> impl Iterator<Item = PeerKey> {
+    pub fn listed_agents(&self) -> impl Iterator<Item = PeerKey> {
         self.agents.keys().copied()
     }
 
     /// Records a connection to the agent beside listed targets. False if the
     /// endpoint is not one of those.
-    pub fn beside(&mut self, peer: PeerKey, endpoint: &str) -> bool {
+    pub fn listed_agent_connected(&mut self, peer: PeerKey, endpoint: &str) -> bool {
         let addr: Option<SocketAddr> = endpoint.parse().ok();
         let Some(addr) = addr.filter(|_| self.options.agent_port.is_some()) else {
             return false;
@@ -253,7 +253,7 @@
 
     /// Records the heartbeat of an agent beside listed targets, and returns
     /// the targets that began to crawl. None if the connection is not to one.
-    pub fn heard_beside(
+    pub fn record_listed_heartbeat(
         &mut self,
         now: Millis,
         peer: PeerKey,
@@ -278,7 +278,7 @@
     }
 
     /// Listed targets beside the agent of a connection.
-    pub fn beside_agent(&self, peer: PeerKey) -> Vec<String> {
+    pub fn targets_of_agent(&self, peer: PeerKey) -> Vec<String> {
         let Some(ip) = self.agents.get(&peer) else { return Vec::new() };
         let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == *ip);
         there.map(|it| it.0.clone()).collect()
@@ -286,7 +286,7 @@
 
     /// The agents that are to remember something for entries that start anew.
     /// All entries choose the same of those that they are connected to.
-    pub fn keepers(&self, key: &str) -> Vec<PeerKey> {
+    pub fn replica_agents(&self, key: &str) -> Vec<PeerKey> {
         let beside = self.agents.iter().map(|(peer, ip)| (ip.to_string(), *peer));
         let linked = self.links.iter().map(|(name, peer)| (name.clone(), *peer));
         let agents: BTreeMap<String, PeerKey> = beside.chain(linked).collect();
@@ -295,14 +295,20 @@
     }
 
     /// Records a connection to an agent.
-    pub fn up(&mut self, now: Millis, peer: PeerKey, name: &str, incarnation: Incarnation) {
+    pub fn agent_connected(
+        &mut self,
+        now: Millis,
+        peer: PeerKey,
+        name: &str,
+        incarnation: Incarnation,
+    ) {
         self.members.connected(now, name, incarnation);
         self.links.insert(name.to_owned(), peer);
         self.names.insert(peer, name.to_owned());
     }
 
     /// Records the end of a connection, and returns whose it was.
-    pub fn down(&mut self, peer: PeerKey) -> Option<String> {
+    pub fn agent_disconnected(&mut self, peer: PeerKey) -> Option<String> {
         if let Some(ip) = self.agents.remove(&peer) {
             let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == ip);
             there.for_each(|it| self.members.agent_disconnected(it.0));
@@ -314,7 +320,7 @@
     }
 
     /// Whose connection this is.
-    pub fn name(&self, peer: PeerKey) -> Option<&str> {
+    pub fn target_name(&self, peer: PeerKey) -> Option<&str> {
         self.names.get(&peer).map(String::as_str)
     }
 
@@ -397,7 +403,7 @@
     }
 
     /// Connections whose agent has been silent for too long.
-    pub fn silent(&self, now: Millis) -> Vec<PeerKey> {
+    pub fn silent_agents(&self, now: Millis) -> Vec<PeerKey> {
         let heard = |name: &str| self.members.get(name).map_or(0, |it| it.heartbeat_at);
         let silent = |name: &str| now.saturating_sub(heard(name)) >= self.options.silence;
         self.names.iter().filter(|(_, name)| silent(name)).map(|(peer, _)| *peer).collect()
--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -34,7 +34,7 @@
 
 impl Targets {
     /// Says which other entries this one knows of by itself.
-    pub fn meet(&mut self, others: Vec<String>) {
+    pub fn set_peers(&mut self, others: Vec<String>) {
         self.met = others.len() + 1;
         self.holders.set_peers(others);
     }
@@ -71,7 +71,7 @@
     }
 
     /// Whether it is time to look again at what all agents told.
-    pub fn looks(&mut self, now: Millis) -> bool {
+    pub fn evaluation_due(&mut self, now: Millis) -> bool {
         let due = now >= self.looked + LOOK;
         if due {
             self.looked = now;
@@ -80,7 +80,7 @@
     }
 
     /// Looks again whose machine counts as asleep. Returns those that do since now.
-    pub fn watch_quiet(&mut self, now: Millis) -> Vec<String> {
+    pub fn update_unresponsive(&mut self, now: Millis) -> Vec<String> {
         let quiet = self.members.unresponsive(now);
         let fresh = quiet.difference(&self.quiet).cloned().collect();
         self.find_broken(now);
@@ -100,7 +100,7 @@
     }
 
     /// Whether a target's machine counts as asleep.
-    pub fn is_quiet(&self, name: &str) -> bool {
+    pub fn is_unresponsive(&self, name: &str) -> bool {
         self.quiet.contains(name)
     }
 }
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -23,13 +23,13 @@
             self.metrics.sleeps.inc();
             self.targets.resumed(now);
         }
-        for peer in self.targets.silent(now) {
+        for peer in self.targets.silent_agents(now) {
             call!([self.mesh], drop_peer(peer));
         }
         self.targets.watch_groups(now);
-        if self.targets.looks(now) {
+        if self.targets.evaluation_due(now) {
             self.count_entries();
-            for target in self.targets.watch_quiet(now) {
+            for target in self.targets.update_unresponsive(now) {
                 slog::warn!(self.log, "target quiet"; "target" => target);
             }
             self.settle_limits(now);
@@ -81,7 +81,7 @@
             return;
         }
         let now = clock::now();
-        let quiet = open.flight.target().is_some_and(|it| self.targets.is_quiet(it));
+        let quiet = open.flight.target().is_some_and(|it| self.targets.is_unresponsive(it));
         if quiet && open.flight.is_silent(now) {
             self.event(cx, id, 0, Event::TargetUnresponsive);
         }
