--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -126,7 +126,7 @@
     /// Takes what the agent before a target says of its limit.
     pub(crate) fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) {
         let change = self.targets.reported_limit(now, name, rate);
-        let born = self.targets.born(name);
+        let born = self.targets.started_at(name);
         self.limit_changed(TargetIncarnation { name, started_at: born }, change, None, "agent");
     }
 
@@ -134,7 +134,7 @@
     /// while, and says how much all limits allow.
     pub(crate) fn settle_limits(&mut self, now: Millis) {
         for (name, change) in self.targets.apply_pending_limits(now) {
-            let born = self.targets.born(&name);
+            let born = self.targets.started_at(&name);
             self.limit_changed(
                 TargetIncarnation { name: &name, started_at: born },
                 change,
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -37,7 +37,7 @@
                 self.tell_bounds();
             }
             mesh::Event::Instances(it) => {
-                let changes = self.targets.list(clock::now(), &it);
+                let changes = self.targets.apply_list(clock::now(), &it);
                 self.report_listing(&changes, it.revision);
                 if changes.restored {
                     self.repeat_notices();
@@ -66,16 +66,16 @@
         ];
         for (text, targets) in said {
             for target in targets {
-                let line = self.targets.line(target);
+                let line = self.targets.line_revision(target);
                 slog::info!(self.log, "{}", text; "target" => target, "line" => line.number,
-                    "born" => self.targets.born(target), "era" => revision.era,
-                    "revision" => revision.number, "used_for" => self.targets.used_for(now, target));
+                    "born" => self.targets.started_at(target), "era" => revision.era,
+                    "revision" => revision.number, "used_for" => self.targets.remaining_use(now, target));
             }
         }
         for target in &changes.leaving {
             self.metrics.left.with_label_values(&["listed"]).inc();
             slog::info!(self.log, "target leaves"; "target" => target,
-                "born" => self.targets.born(target), "source" => "listed",
+                "born" => self.targets.started_at(target), "source" => "listed",
                 "era" => revision.era, "revision" => revision.number);
         }
         for target in &changes.rested {
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -153,7 +153,7 @@
         }
         let death = Death {
             target: target.to_owned(),
-            born: self.targets.born(target),
+            born: self.targets.started_at(target),
             sent: open.sent,
             ended: now,
         };
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -44,12 +44,12 @@
 
 impl Targets {
     /// When a target's present life began; 0 if it does not say.
-    pub fn born(&self, name: &str) -> Millis {
+    pub fn started_at(&self, name: &str) -> Millis {
         self.listed.get(name).map_or(0, |it| it.instance.born)
     }
 
     /// Revision of a target's line in the list.
-    pub fn line(&self, name: &str) -> Revision {
+    pub fn line_revision(&self, name: &str) -> Revision {
         self.listed.get(name).map_or_else(Revision::default, |it| it.instance.revision)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// How much longer a target gets work that the list names no more; none if it names it.
-    pub fn used_for(&self, now: Millis, name: &str) -> Option<Millis> {
+    pub fn remaining_use(&self, now: Millis, name: &str) -> Option<Millis> {
         let missing = self.listed.get(name)?.missing?;
         Some(missing.gone.saturating_sub(now))
     }
@@ -79,7 +79,7 @@
     }
 
     /// Takes a new instance list.
-    pub fn list(&mut self, now: Millis, list: &Listing) -> Changes {
+    pub fn apply_list(&mut self, now: Millis, list: &Listing) -> Changes {
         let Listing { instances, revision, began, back } = list;
         let era = revision.era;
         let before = std::mem::replace(&mut self.era, era);
@@ -131,7 +131,7 @@
                 changes.missing.push(name);
             }
         }
-        changes.gone = self.lapse(now);
+        changes.gone = self.remove_expired(now);
         changes
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Drops targets that the list has not named for long enough.
-    pub fn lapse(&mut self, now: Millis) -> Vec<String> {
+    pub fn remove_expired(&mut self, now: Millis) -> Vec<String> {
         let over =
             |it: &Listed| it.missing.is_some_and(|it| now >= it.gone && now >= it.since + KEEP);
         let gone: Vec<String> =
@@ -161,9 +161,9 @@
     }
 
     /// The same, if any target is missing.
-    pub fn lapse_due(&mut self, now: Millis) -> Vec<String> {
+    pub fn remove_expired_if_missing(&mut self, now: Millis) -> Vec<String> {
         let missing = self.listed.values().any(|it| it.missing.is_some());
-        if missing { self.lapse(now) } else { Vec::new() }
+        if missing { self.remove_expired(now) } else { Vec::new() }
     }
 
     /// Finds the targets whose address a later one has. One that turned out
--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -11,7 +11,7 @@
 impl Targets {
     /// The present life of a target.
     pub(super) fn life<'a>(&self, name: &'a str) -> TargetIncarnation<'a> {
-        TargetIncarnation { name, started_at: self.born(name) }
+        TargetIncarnation { name, started_at: self.started_at(name) }
     }
 
     /// Records that a target wants nothing for so long. Whether it rests only since now.
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -42,7 +42,7 @@
             self.tick_one(cx, id);
         }
         self.pool.tick(now);
-        let gone = self.targets.lapse_due(now);
+        let gone = self.targets.remove_expired_if_missing(now);
         self.forget(cx, &gone);
         self.check_stop(cx, now);
         after!(TICK, [cx], tick());
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -127,7 +127,7 @@
     fn take_turn(&mut self, now: Millis, id: RequestId, limited: &[String], most: Millis) -> bool {
         let turn = |it: &String| Some((self.targets.next_turn(now, it)?, it.clone()));
         let Some((_, target)) = limited.iter().filter_map(turn).min() else { return false };
-        let born = self.targets.born(&target);
+        let born = self.targets.started_at(&target);
         match self.targets.reserve(now, TargetIncarnation { name: &target, started_at: born }, most)
         {
             Turn::In(wait) => {
@@ -168,7 +168,7 @@
             return false;
         }
         let (target, peer) = asked[self.rng.random_range(0..asked.len())];
-        let life = TargetIncarnation { name: target, started_at: self.targets.born(target) };
+        let life = TargetIncarnation { name: target, started_at: self.targets.started_at(target) };
         call!([self.mesh], send(peer, turns::ask(Ask { target: life, request: id, most })));
         if let Some(open) = self.open.get_mut(&id) {
             open.sought = true;
@@ -180,7 +180,7 @@
 
     fn refuse_turn(&mut self, cx: CX![], now: Millis, id: RequestId, limited: &[String]) {
         let every = |it: &String| {
-            let life = TargetIncarnation { name: it, started_at: self.targets.born(it) };
+            let life = TargetIncarnation { name: it, started_at: self.targets.started_at(it) };
             let limit = self.targets.limit(life)?;
             Some(limit.rate().usable().per_second())
         };
@@ -244,7 +244,7 @@
         match it.turn {
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["asked"]).inc();
-                let born = self.targets.born(&target);
+                let born = self.targets.started_at(&target);
                 self.give_turn(now, it.request, Given { target, born, at: now + wait });
                 self.await_turn(cx, it.request);
             }
