--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -215,7 +215,7 @@
         if run.priority.is_some_and(|it| it > declared.resource.priority) {
             return Err(Refusal::NotGranted);
         }
-        let room = self.targets.room(now, &served);
+        let room = self.targets.share(now, &served);
         let ticket = self.admission.admit(&admit::Ask {
             customer: &customer,
             partner: &declared.partner,
@@ -251,7 +251,7 @@
         }
         let service = route.pick(self.rng.random()).ok_or(Refusal::NoTarget)?;
         let served = (Kind::Service, service.to_owned());
-        let room = self.targets.room(now, &served);
+        let room = self.targets.share(now, &served);
         let priority = Priority::default();
         let (customer, partner, streams, share, told) = match &known {
             Some((name, it)) => {
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -189,7 +189,7 @@
     /// refused at once where it is not.
     fn no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
         // A report may have come since the last tick.
-        self.targets.watch_groups(now);
+        self.targets.update_groups(now);
         let opens_soon = self.may_wait(now, id);
         if self.seek_turn(cx, now, id) {
             return;
@@ -213,7 +213,7 @@
                 "service" => &open.served.1, "after" => now.saturating_sub(open.run.arrived));
             return;
         }
-        let reason = match (&open.owner, self.targets.closed(now, &open.served)) {
+        let reason = match (&open.owner, self.targets.has_closed_group(now, &open.served)) {
             (Some(_), _) => Refusal::OwnerAway,
             (None, true) => Refusal::GroupClosed,
             (None, false) => Refusal::NoTarget,
@@ -232,7 +232,7 @@
             return false;
         }
         let same = |it: &&Open| it.waiting.is_some() && it.served == open.served;
-        let most = self.targets.whole(&open.served).capacity * FORM_PART;
+        let most = self.targets.total_share(&open.served).capacity * FORM_PART;
         (self.open.values().filter(same).count() as f64) < most
     }
 
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -25,11 +25,11 @@
         let patience = starts::patience(route.objective, pause).min(left);
         let ask = StartRequest { id, arrived, objective: route.objective, patience, resumed };
         let served = open.served.clone();
-        let mut room = self.targets.begins(now, &served, pause as f64);
+        let mut room = self.targets.start_room(now, &served, pause as f64);
         if matches!(room, Room::Opens { .. } | Room::Closed) {
             // A report may have come since the last tick.
-            self.targets.watch_groups(now);
-            room = self.targets.begins(now, &served, pause as f64);
+            self.targets.update_groups(now);
+            room = self.targets.start_room(now, &served, pause as f64);
         }
         let turn = self.starts.entry(served).or_default().request(now, &ask, room);
         match turn {
@@ -90,6 +90,6 @@
         let now = clock::now();
         let starts = self.starts.get(served)?;
         let pause = self.open.get(&starts.front(now)?.id)?.route.as_ref()?.pause?;
-        Some(self.targets.begins(now, served, pause as f64))
+        Some(self.targets.start_room(now, served, pause as f64))
     }
 }
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -291,7 +291,7 @@
             *other != id && copy.counted.is_some() && copy.fingerprint() == it
         };
         Trial {
-            expensive: self.targets.stands_together(&open.served),
+            expensive: self.targets.is_single_group(&open.served),
             owner: several && self.targets.owns(&it.to_string()),
             busy: several && self.open.iter().any(copy),
         }
--- a/crates/sablepass-entry/src/targets/groups.rs
+++ b/crates/sablepass-entry/src/targets/groups.rs
@@ -41,7 +41,7 @@
 
 impl Targets {
     /// Whether what serves is there and closed: its group is not complete.
-    pub fn closed(&self, now: Millis, served: &Served) -> bool {
+    pub fn has_closed_group(&self, now: Millis, served: &Served) -> bool {
         let names = self.serving.get(served);
         let closed = |name: &String| self.members.closed(now, name) || self.is_broken(name);
         names.is_some_and(|it| it.iter().any(closed))
@@ -49,7 +49,7 @@
 
     /// Whether all targets of what serves are ranks of one group, so that the end of one
     /// stops all.
-    pub fn stands_together(&self, served: &Served) -> bool {
+    pub fn is_single_group(&self, served: &Served) -> bool {
         self.form(served).is_some() && self.groups.get(served).is_some_and(|it| it.len() == 1)
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Looks at the groups again.
-    pub fn watch_groups(&mut self, now: Millis) {
+    pub fn update_groups(&mut self, now: Millis) {
         let young = self.is_young(now);
         let served: Vec<Served> =
             self.serving.keys().filter(|it| self.form(it).is_some()).cloned().collect();
@@ -90,7 +90,7 @@
     }
 
     /// This entry's part of what serves, whether it takes work or not.
-    pub fn whole(&self, served: &Served) -> Share {
+    pub fn total_share(&self, served: &Served) -> Share {
         let names = self.serving.get(served).map(Vec::as_slice).unwrap_or_default();
         let there = names.iter().filter(|it| !self.replaced.contains(*it));
         let places = there.filter_map(|it| Some(self.listed.get(it)?.instance.capacity));
@@ -101,7 +101,7 @@
 
     /// What serves has for streams that fall to this entry, whose passes are to
     /// take no longer than `pause`.
-    pub fn begins(&self, now: Millis, served: &Served, pause: f64) -> Room {
+    pub fn start_room(&self, now: Millis, served: &Served, pause: f64) -> Room {
         let service = self.catalogue.services.get(&served.1);
         let Some(times) = service.and_then(|it| it.engine.as_ref()?.times()) else {
             return Room::Free;
@@ -112,7 +112,7 @@
             let sequences = times.sequences(pause, lag) * it.targets / sharing;
             sequences.clamp(it.capacity * LEAST_PART, it.capacity * MOST_PART)
         };
-        let shares = self.shares(now, served);
+        let shares = self.shares_by_group(now, served);
         if !shares.is_empty() {
             let (mut all, mut load) = (0.0, 0.0);
             for (group, it) in &shares {
@@ -123,11 +123,11 @@
             let ranks: f64 = shares.values().map(|it| it.targets).sum();
             return Room::Open { places: all, load, reads: ranks / sharing };
         }
-        if !self.closed(now, served) && !self.is_forming(served) {
+        if !self.has_closed_group(now, served) && !self.is_forming(served) {
             return Room::Free;
         }
         let Some(Opens { within, sure }) = self.opens(now, served) else { return Room::Closed };
-        let it = self.whole(served);
+        let it = self.total_share(served);
         Room::Opens { within, places: places(&it, INITIAL_LAG), sure }
     }
 
@@ -217,7 +217,7 @@
         let unheard = self.members.get(name).is_some_and(|it| !it.reported);
         if let Some(it) = self.listed.get(name).filter(|_| unheard && self.is_young(now)) {
             self.suspects.insert(it.instance.serves.clone());
-            self.watch_groups(now);
+            self.update_groups(now);
         }
     }
 
--- a/crates/sablepass-entry/src/targets/shares.rs
+++ b/crates/sablepass-entry/src/targets/shares.rs
@@ -23,9 +23,9 @@
 impl Targets {
     /// Capacity and load of a model that fall to this entry: targets are
     /// shared with the other entries that keep connections to them.
-    pub fn room(&self, now: Millis, served: &Served) -> Share {
+    pub fn share(&self, now: Millis, served: &Served) -> Share {
         let mut sum = Share::default();
-        for it in self.shares(now, served).into_values() {
+        for it in self.shares_by_group(now, served).into_values() {
             sum.capacity += it.capacity;
             sum.load += it.load;
             sum.targets += it.targets;
@@ -34,7 +34,7 @@
     }
 
     /// The same by group.
-    pub(super) fn shares(&self, now: Millis, served: &Served) -> BTreeMap<u32, Share> {
+    pub(super) fn shares_by_group(&self, now: Millis, served: &Served) -> BTreeMap<u32, Share> {
         let mut shares: BTreeMap<u32, Share> = BTreeMap::new();
         let Some(subset) = self.subsets.get(served) else { return shares };
         let sharing = self.sharing(served);
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -26,7 +26,7 @@
         for peer in self.targets.silent_agents(now) {
             call!([self.mesh], drop_peer(peer));
         }
-        self.targets.watch_groups(now);
+        self.targets.update_groups(now);
         if self.targets.evaluation_due(now) {
             self.count_entries();
             for target in self.targets.update_unresponsive(now) {
