--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -53,7 +53,7 @@
             Rest::Unread => ("unread", None),
         };
         self.metrics.turned_away.with_label_values(&[asked]).inc();
-        let begins = rest.is_some_and(|asked| self.targets.asked_for_rest(now, it, asked));
+        let begins = rest.is_some_and(|asked| self.targets.record_pause(now, it, asked));
         self.traces.add(
             now,
             carried.request,
@@ -88,7 +88,7 @@
         let open = open.filter(|it| it.flight.attempt().number == carried.attempt);
         let sent = open.map_or(0, |it| it.sent);
         let label = open.map(|it| it.run.label.clone());
-        let change = self.targets.answered(now, it, sent, named);
+        let change = self.targets.limit_announced(now, it, sent, named);
         self.limit_changed(it, change, label.as_deref(), "seen");
         self.tell_limit(it, change);
     }
@@ -125,7 +125,7 @@
 
     /// Takes what the agent before a target says of its limit.
     pub(crate) fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) {
-        let change = self.targets.reported_limit(now, name, rate);
+        let change = self.targets.limit_reported_by_agent(now, name, rate);
         let born = self.targets.started_at(name);
         self.limit_changed(TargetIncarnation { name, started_at: born }, change, None, "agent");
     }
@@ -156,12 +156,12 @@
     /// entry.
     pub(crate) fn check_wishes(&self, now: Millis, carried: Carried, it: TargetIncarnation<'_>) {
         let Some(open) = self.open.get(&carried.request) else { return };
-        if self.targets.left_before(it, open.sent) {
+        if self.targets.was_leaving_before(it, open.sent) {
             self.metrics.sent_to_leaving.inc();
             slog::error!(self.log, "sent to a target that leaves"; "id" => &open.run.label,
                 "target" => it.name, "born" => it.started_at, "sent" => open.sent);
         }
-        if self.targets.rested_before(now, it, open.sent) {
+        if self.targets.was_paused_before(now, it, open.sent) {
             self.metrics.sent_to_resting.inc();
             slog::error!(self.log, "sent to a target that rests"; "id" => &open.run.label,
                 "target" => it.name, "born" => it.started_at, "sent" => open.sent);
@@ -175,7 +175,7 @@
         it: TargetIncarnation<'_>,
         source: Source,
     ) -> bool {
-        let begins = self.targets.said_it_leaves(now, it);
+        let begins = self.targets.record_leaving(now, it);
         if begins {
             self.metrics.left.with_label_values(&[source.label()]).inc();
             slog::info!(self.log, "target leaves"; "target" => it.name, "born" => it.started_at,
@@ -206,7 +206,10 @@
     /// Tells an entry that connects which targets leave, and their limits.
     pub(crate) fn tell_all_notices(&self, peer: PeerKey) {
         let limits = self.targets.limits().map(|(it, limit)| (it, Some(limit.rate())));
-        let told = Told { leaving: self.targets.left().collect(), limits: limits.collect() };
+        let told = Told {
+            leaving: self.targets.leaving_incarnations().collect(),
+            limits: limits.collect(),
+        };
         if !told.is_empty() {
             call!([self.mesh], send(peer, told.body()));
         }
@@ -233,14 +236,14 @@
             if !self.keeps_word(it) {
                 continue;
             }
-            let change = self.targets.told_limit(now, it, rate);
+            let change = self.targets.limit_reported_by_peer(now, it, rate);
             self.limit_changed(it, change, None, "told");
         }
     }
 
     /// Whether what is told of a target is kept; counts it if not.
     fn keeps_word(&self, it: TargetIncarnation<'_>) -> bool {
-        let keeps = self.targets.keeps_word(it);
+        let keeps = self.targets.keeps_notice(it);
         if !keeps {
             self.metrics.ignored(Ignored::ManyNotices);
         }
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -160,7 +160,7 @@
             self.targets.ended(&name);
         }
         let given = open.slot.take().and_then(|it| it.given());
-        let given = given.and_then(|it| self.targets.choose_given(now, it.life()));
+        let given = given.and_then(|it| self.targets.choose_reserved(now, it.life()));
         let choice = match &open.owner {
             _ if given.is_some() => given,
             Some(owner) => {
@@ -197,7 +197,7 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let rested = self.targets.rested(now, &open.served);
+        let rested = self.targets.pause_ends_at(now, &open.served);
         if open.begun && rested.unwrap_or(now) < open.spoke + RESUME_WAIT {
             open.waiting = Some(now);
             return;
@@ -382,7 +382,7 @@
     /// When a caller may come back that is refused while all that could serve it rest.
     fn set_return(&mut self, now: Millis, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        if let Some(until) = self.targets.rested(now, &open.served) {
+        if let Some(until) = self.targets.pause_ends_at(now, &open.served) {
             let spread = self.rng.random_range(0..COME_BACK_SPREAD);
             open.comeback.get_or_insert((until - now).saturating_add(spread));
         }
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -411,7 +411,8 @@
 
     /// Whether a target may get new work, but for a limit that it names.
     fn open_for(&self, now: Millis, name: &str) -> bool {
-        self.takes(now, self.life(name)) && self.returns(now, name).is_some_and(|it| now >= it)
+        self.accepts_work(now, self.life(name))
+            && self.returns(now, name).is_some_and(|it| now >= it)
     }
 
     /// Until when a target is left alone that may get new work but for that, and for what
@@ -471,7 +472,7 @@
     }
 
     /// A target at which the request has its turn, if that may get work now.
-    pub fn choose_given(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Choice> {
+    pub fn choose_reserved(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Choice> {
         if self.is_past(it) || !self.open_for(now, it.name) {
             return None;
         }
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -28,7 +28,7 @@
     }
 
     /// Takes the limit that an answer names, or that it names none, to a request sent at `sent`.
-    pub fn answered(
+    pub fn limit_announced(
         &mut self,
         now: Millis,
         it: TargetIncarnation<'_>,
@@ -44,7 +44,7 @@
     }
 
     /// Takes what another entry tells of a target's limit.
-    pub fn told_limit(
+    pub fn limit_reported_by_peer(
         &mut self,
         now: Millis,
         it: TargetIncarnation<'_>,
@@ -59,7 +59,12 @@
     }
 
     /// Takes what the agent before a target tells of its limit.
-    pub fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) -> Change {
+    pub fn limit_reported_by_agent(
+        &mut self,
+        now: Millis,
+        name: &str,
+        rate: Option<Rate>,
+    ) -> Change {
         let life = self.life(name);
         self.notices.reported_by_agent(now, life, rate, &self.holders)
     }
@@ -94,12 +99,12 @@
     /// have become known since.
     pub fn admits(&mut self, now: Millis, it: TargetIncarnation<'_>, sent: Millis) -> bool {
         let later = self.limit(it).is_some_and(|it| it.since() > sent);
-        self.takes(now, it) && (!later || self.spend(now, it.name))
+        self.accepts_work(now, it) && (!later || self.spend(now, it.name))
     }
 
     /// The targets that could serve but for their limits; not among those tried while there
     /// are others.
-    pub fn limited(&self, now: Millis, served: &Served, tried: &[String]) -> Vec<String> {
+    pub fn limited_targets(&self, now: Millis, served: &Served, tried: &[String]) -> Vec<String> {
         let names = self.subsets.get(served).map(Vec::as_slice).unwrap_or_default();
         let limited = |it: &&String| self.open_for(now, it) && !self.has_turn(now, it);
         let limited: Vec<&String> = names.iter().filter(limited).collect();
@@ -127,7 +132,7 @@
     }
 
     /// The other entries that hold a target's limit.
-    pub fn holders(&self, name: &str) -> Vec<&str> {
+    pub fn limit_holders(&self, name: &str) -> Vec<&str> {
         let life = self.life(name);
         self.limit(life).map_or_else(Vec::new, |it| self.holders.other_holders(life, it.rate()))
     }
--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -15,26 +15,21 @@
     }
 
     /// Records that a target wants nothing for so long. Whether it rests only since now.
-    pub fn asked_for_rest(
-        &mut self,
-        now: Millis,
-        it: TargetIncarnation<'_>,
-        asked: Millis,
-    ) -> bool {
+    pub fn record_pause(&mut self, now: Millis, it: TargetIncarnation<'_>, asked: Millis) -> bool {
         let begins = !self.is_past(it) && self.notices.pause(now, it, asked);
         self.note_listing(now, it.name);
         begins
     }
 
     /// Records that a target leaves. Whether that is new.
-    pub fn said_it_leaves(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
+    pub fn record_leaving(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         let begins = !self.is_past(it) && self.notices.leave(now, it);
         self.note_listing(now, it.name);
         begins
     }
 
     /// Whether what another process tells of a target is kept.
-    pub fn keeps_word(&self, it: TargetIncarnation<'_>) -> bool {
+    pub fn keeps_notice(&self, it: TargetIncarnation<'_>) -> bool {
         self.listed.contains_key(it.name) || self.notices.has_room(it.name)
     }
 
@@ -50,12 +45,12 @@
     }
 
     /// Whether a request may go to a target, by what that said of itself and by the list.
-    pub fn takes(&self, now: Millis, it: TargetIncarnation<'_>) -> bool {
+    pub fn accepts_work(&self, now: Millis, it: TargetIncarnation<'_>) -> bool {
         !self.has_left(now, it) && self.notices.paused_until(now, it).is_none()
     }
 
     /// The lives of targets that said that they leave.
-    pub fn left(&self) -> impl Iterator<Item = TargetIncarnation<'_>> {
+    pub fn leaving_incarnations(&self) -> impl Iterator<Item = TargetIncarnation<'_>> {
         self.notices.leaving()
     }
 
@@ -65,19 +60,19 @@
     }
 
     /// Whether a target had asked for a rest, that goes on, before a request was sent there.
-    pub fn rested_before(&self, now: Millis, it: TargetIncarnation<'_>, sent: Millis) -> bool {
+    pub fn was_paused_before(&self, now: Millis, it: TargetIncarnation<'_>, sent: Millis) -> bool {
         self.notices.paused_since(now, it).is_some_and(|since| sent > since)
     }
 
     /// Whether a target was known to leave before a request was sent there.
-    pub fn left_before(&self, it: TargetIncarnation<'_>, sent: Millis) -> bool {
+    pub fn was_leaving_before(&self, it: TargetIncarnation<'_>, sent: Millis) -> bool {
         let gone = self.listed.get(it.name).and_then(|it| it.missing).map(|it| it.gone);
         let since = self.notices.leaving_since(it).into_iter().chain(gone).min();
         since.is_some_and(|since| sent > since)
     }
 
     /// Targets that rest.
-    pub fn resting(&self, now: Millis) -> usize {
+    pub fn paused_count(&self, now: Millis) -> usize {
         self.notices.paused_count(now)
     }
 
@@ -89,7 +84,7 @@
 
     /// When the first target takes requests again, where all that could serve are left alone
     /// and some of them asked for it.
-    pub fn rested(&self, now: Millis, served: &Served) -> Option<Millis> {
+    pub fn pause_ends_at(&self, now: Millis, served: &Served) -> Option<Millis> {
         let names = self.subsets.get(served)?;
         let rests = |it: &String| self.notices.paused_until(now, self.life(it));
         let asked = |it: &String| rests(it).is_some() || self.rests_behind_agent(now, it);
--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -65,7 +65,7 @@
             beside: beside.len(),
             linked: self.listed.keys().filter(|it| member(it).is_some_and(|it| it.linked)).count(),
             usable: self.listed.keys().filter(|it| self.open_for(now, it)).count(),
-            resting: self.resting(now),
+            resting: self.paused_count(now),
             limited: self.limits().count(),
         }
     }
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -95,7 +95,7 @@
         if open.owner.is_some() {
             return false;
         }
-        let limited = self.targets.limited(now, &open.served, open.flight.tried());
+        let limited = self.targets.limited_targets(now, &open.served, open.flight.tried());
         if limited.is_empty() {
             return false;
         }
@@ -160,7 +160,7 @@
         };
         let mut asked: Vec<(&String, PeerKey)> = Vec::new();
         for target in limited {
-            let holders = self.targets.holders(target).into_iter();
+            let holders = self.targets.limit_holders(target).into_iter();
             let peers = holders.filter_map(|it| self.watch.entry(it));
             asked.extend(peers.filter(|it| useful(target, it)).map(|it| (target, it)));
         }
