--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -101,15 +101,19 @@
         let Some(life) = self.pool.target(key) else { return };
         let (target, born) = (life.name.to_owned(), life.started_at);
         if meta.leaving
-            && self.target_leaves(
+            && self.target_leaving(
                 now,
                 TargetIncarnation { name: &target, started_at: born },
                 Source::Seen,
             )
         {
-            self.tell_leaving(TargetIncarnation { name: &target, started_at: born });
+            self.send_leaving(TargetIncarnation { name: &target, started_at: born });
         }
-        self.check_wishes(now, carried, TargetIncarnation { name: &target, started_at: born });
+        self.check_notices_respected(
+            now,
+            carried,
+            TargetIncarnation { name: &target, started_at: born },
+        );
         if let Some(load) = meta.load {
             self.targets.record_load(now, &target, load.running + load.waiting);
         }
@@ -117,14 +121,14 @@
         for field in answer::unread(head.headers()) {
             self.unread.note(&self.log, &self.metrics, &target, field);
         }
-        self.names_limit(
+        self.limit_announced(
             now,
             carried,
             TargetIncarnation { name: &target, started_at: born },
             meta.limit,
         );
         if meta.rest != Rest::None || meta.proof != Proof::None {
-            self.turned_away(
+            self.target_rejected(
                 now,
                 carried,
                 TargetIncarnation { name: &target, started_at: born },
@@ -219,7 +223,7 @@
                 "fingerprint" => %open.fingerprint(), "cause" => %cause);
         }
         if sent && cause.is_end() {
-            self.broke_off(cx, carried.request, &target);
+            self.attempt_interrupted(cx, carried.request, &target);
         }
         let event = if sent {
             self.target_failed(clock::now(), &target);
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -39,7 +39,7 @@
 
 impl Router {
     /// Records that a target turned a request away, and how long it wants to rest.
-    pub(crate) fn turned_away(
+    pub(crate) fn target_rejected(
         &mut self,
         now: Millis,
         carried: Carried,
@@ -66,7 +66,7 @@
     }
 
     /// Takes the limit that a target names with an answer, or that it names none.
-    pub(crate) fn names_limit(
+    pub(crate) fn limit_announced(
         &mut self,
         now: Millis,
         carried: Carried,
@@ -89,12 +89,12 @@
         let sent = open.map_or(0, |it| it.sent);
         let label = open.map(|it| it.run.label.clone());
         let change = self.targets.limit_announced(now, it, sent, named);
-        self.limit_changed(it, change, label.as_deref(), "seen");
-        self.tell_limit(it, change);
+        self.log_limit_change(it, change, label.as_deref(), "seen");
+        self.send_limit(it, change);
     }
 
     /// Logs what became of a target's limit.
-    fn limit_changed(
+    fn log_limit_change(
         &self,
         it: TargetIncarnation<'_>,
         change: Change,
@@ -114,28 +114,28 @@
     }
 
     /// Tells the other entries what became of a target's limit.
-    fn tell_limit(&self, it: TargetIncarnation<'_>, change: Change) {
+    fn send_limit(&self, it: TargetIncarnation<'_>, change: Change) {
         let rate = match change {
             Change::None => return,
             Change::Set(rate) => Some(rate),
             Change::Ended => None,
         };
-        self.tell(&Told { limits: vec![(it, rate)], ..Told::default() });
+        self.broadcast(&Told { limits: vec![(it, rate)], ..Told::default() });
     }
 
     /// Takes what the agent before a target says of its limit.
-    pub(crate) fn reported_limit(&mut self, now: Millis, name: &str, rate: Option<Rate>) {
+    pub(crate) fn limit_reported_by_agent(&mut self, now: Millis, name: &str, rate: Option<Rate>) {
         let change = self.targets.limit_reported_by_agent(now, name, rate);
         let born = self.targets.started_at(name);
-        self.limit_changed(TargetIncarnation { name, started_at: born }, change, None, "agent");
+        self.log_limit_change(TargetIncarnation { name, started_at: born }, change, None, "agent");
     }
 
     /// Believes what other entries told of limits, once nothing has spoken against it for a
     /// while, and says how much all limits allow.
-    pub(crate) fn settle_limits(&mut self, now: Millis) {
+    pub(crate) fn apply_pending_limits(&mut self, now: Millis) {
         for (name, change) in self.targets.apply_pending_limits(now) {
             let born = self.targets.started_at(&name);
-            self.limit_changed(
+            self.log_limit_change(
                 TargetIncarnation { name: &name, started_at: born },
                 change,
                 None,
@@ -154,7 +154,12 @@
     /// Counts an answer to a request that was sent while its target rested, or after it was
     /// known to leave. There is none: whoever sees these counts grow has found a fault of the
     /// entry.
-    pub(crate) fn check_wishes(&self, now: Millis, carried: Carried, it: TargetIncarnation<'_>) {
+    pub(crate) fn check_notices_respected(
+        &self,
+        now: Millis,
+        carried: Carried,
+        it: TargetIncarnation<'_>,
+    ) {
         let Some(open) = self.open.get(&carried.request) else { return };
         if self.targets.was_leaving_before(it, open.sent) {
             self.metrics.sent_to_leaving.inc();
@@ -169,7 +174,7 @@
     }
 
     /// Records that a target leaves: it gets nothing more in this life. Whether that is new.
-    pub(crate) fn target_leaves(
+    pub(crate) fn target_leaving(
         &mut self,
         now: Millis,
         it: TargetIncarnation<'_>,
@@ -186,11 +191,11 @@
     }
 
     /// Tells the other entries that a target leaves.
-    pub(crate) fn tell_leaving(&self, it: TargetIncarnation<'_>) {
-        self.tell(&Told { leaving: vec![it], ..Told::default() });
+    pub(crate) fn send_leaving(&self, it: TargetIncarnation<'_>) {
+        self.broadcast(&Told { leaving: vec![it], ..Told::default() });
     }
 
-    fn tell(&self, it: &Told<'_>) {
+    fn broadcast(&self, it: &Told<'_>) {
         let body = it.body();
         for peer in self.watch.entries() {
             call!([self.mesh], send(peer, body.clone()));
@@ -199,12 +204,12 @@
 
     /// Tells all entries which targets leave, and their limits, as one that did not run
     /// meanwhile cannot learn it from the list any more.
-    pub(crate) fn repeat_notices(&self) {
-        self.watch.entries().for_each(|it| self.tell_all_notices(it));
+    pub(crate) fn resend_notices(&self) {
+        self.watch.entries().for_each(|it| self.send_all_notices(it));
     }
 
     /// Tells an entry that connects which targets leave, and their limits.
-    pub(crate) fn tell_all_notices(&self, peer: PeerKey) {
+    pub(crate) fn send_all_notices(&self, peer: PeerKey) {
         let limits = self.targets.limits().map(|(it, limit)| (it, Some(limit.rate())));
         let told = Told {
             leaving: self.targets.leaving_incarnations().collect(),
@@ -216,7 +221,7 @@
     }
 
     /// Takes what another entry tells of targets.
-    pub(crate) fn told_notices(&mut self, it: &wire::Notices) {
+    pub(crate) fn receive_notices(&mut self, it: &wire::Notices) {
         let Ok(told) = notices::parse(it) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
@@ -224,25 +229,25 @@
         let now = clock::now();
         let mut news = Vec::new();
         for it in told.leaving {
-            if self.keeps_word(it) && self.target_leaves(now, it, Source::Told) {
+            if self.keeps_notice(it) && self.target_leaving(now, it, Source::Told) {
                 news.push(it);
             }
         }
         if !news.is_empty() {
             // Entries that know each other by seeds are connected to those only.
-            self.tell(&Told { leaving: news, ..Told::default() });
+            self.broadcast(&Told { leaving: news, ..Told::default() });
         }
         for (it, rate) in told.limits {
-            if !self.keeps_word(it) {
+            if !self.keeps_notice(it) {
                 continue;
             }
             let change = self.targets.limit_reported_by_peer(now, it, rate);
-            self.limit_changed(it, change, None, "told");
+            self.log_limit_change(it, change, None, "told");
         }
     }
 
     /// Whether what is told of a target is kept; counts it if not.
-    fn keeps_word(&self, it: TargetIncarnation<'_>) -> bool {
+    fn keeps_notice(&self, it: TargetIncarnation<'_>) -> bool {
         let keeps = self.targets.keeps_notice(it);
         if !keeps {
             self.metrics.ignored(Ignored::ManyNotices);
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -33,21 +33,21 @@
                     call!([self.server], limit(limits(it)));
                 }
                 self.targets.set_catalogue(catalogue);
-                self.want(cx);
-                self.tell_bounds();
+                self.update_wanted_peers(cx);
+                self.send_bounds();
             }
             mesh::Event::Instances(it) => {
                 let changes = self.targets.apply_list(clock::now(), &it);
-                self.report_listing(&changes, it.revision);
+                self.log_list_changes(&changes, it.revision);
                 if changes.restored {
-                    self.repeat_notices();
+                    self.resend_notices();
                 }
                 for target in &changes.reborn {
                     self.pool.leave(target);
                     self.target_gone(cx, target);
                 }
-                self.forget(cx, &changes.gone);
-                self.want(cx);
+                self.remove_targets(cx, &changes.gone);
+                self.update_wanted_peers(cx);
             }
             mesh::Event::Entries(names) => {
                 self.targets.set_peers(names);
@@ -57,7 +57,7 @@
     }
 
     /// A line for each target that a new list speaks of in another way than the one before.
-    fn report_listing(&self, changes: &Changes, revision: Revision) {
+    fn log_list_changes(&self, changes: &Changes, revision: Revision) {
         let now = clock::now();
         let said = [
             ("target listed", &changes.found),
@@ -90,7 +90,7 @@
         self.budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
-    pub(crate) fn forget(&mut self, cx: CX![], targets: &[String]) {
+    pub(crate) fn remove_targets(&mut self, cx: CX![], targets: &[String]) {
         for target in targets {
             slog::info!(self.log, "target gone"; "target" => target);
             self.pool.leave(target);
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(crate) fn want(&mut self, _cx: CX![]) {
+    pub(crate) fn update_wanted_peers(&mut self, _cx: CX![]) {
         let wanted = self.targets.wanted_peers(clock::now());
         call!([self.mesh], want(wanted));
     }
@@ -107,7 +107,7 @@
         if it.role == Role::Entry.name() {
             let told = self.watch.entry_up(peer, &it.name);
             told.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
-            self.tell_all_notices(peer);
+            self.send_all_notices(peer);
             return;
         }
         let Some(endpoint) = it.dialled.as_ref() else {
@@ -138,7 +138,7 @@
 
     /// Tells all of them. A line of some ten bytes for each service, however
     /// large the configuration is.
-    fn tell_bounds(&self) {
+    fn send_bounds(&self) {
         for body in self.bounds() {
             for peer in self.targets.listed_agents() {
                 call!([self.mesh], send(peer, body.clone()));
@@ -165,10 +165,10 @@
     fn message(&mut self, cx: CX![], peer: PeerKey, body: Body) {
         let body = match body {
             Body::Report(it) => return self.report(cx, peer, &it),
-            Body::Suspects(it) => return self.told_suspects(cx, peer, it),
-            Body::Notices(it) => return self.told_notices(&it),
-            Body::TurnAsk(it) => return self.turn_asked(peer, &it),
-            Body::TurnAnswer(it) => return self.turn_answered(cx, &it),
+            Body::Suspects(it) => return self.receive_suspects(cx, peer, it),
+            Body::Notices(it) => return self.receive_notices(&it),
+            Body::TurnAsk(it) => return self.answer_turn_request(peer, &it),
+            Body::TurnAnswer(it) => return self.receive_turn_answer(cx, &it),
             other => other,
         };
         let Some(name) = self.targets.target_name(peer).map(str::to_owned) else {
@@ -189,7 +189,7 @@
             return;
         };
         if let Some(began) = self.targets.record_listed_heartbeat(now, peer, report) {
-            began.iter().for_each(|it| self.relieve(cx, it));
+            began.iter().for_each(|it| self.move_requests(cx, it));
             if report.refuses {
                 let refusing = self.targets.targets_of_agent(peer);
                 refusing.iter().for_each(|it| self.target_refuses(cx, it));
@@ -206,7 +206,7 @@
             self.metrics.ignored(Ignored::LateHeartbeat);
         }
         self.targets.record_heartbeat(now, &name, report);
-        self.reported_limit(now, &name, report.limit);
+        self.limit_reported_by_agent(now, &name, report.limit);
         if report.refuses {
             self.target_refuses(cx, &name);
         }
@@ -214,7 +214,7 @@
 
     /// Moves what runs at a target that crawls to others, as far as it can go
     /// on there: while it runs, all ranks of the group are as slow.
-    fn relieve(&mut self, cx: CX![], target: &str) {
+    fn move_requests(&mut self, cx: CX![], target: &str) {
         let there = |it: &&Open| it.flight.target() == Some(target);
         let Some(served) = self.open.values().find(there).map(|it| it.served.clone()) else {
             return;
@@ -241,7 +241,7 @@
                 self.targets.refused_connection(from)
             }
             Event::Failed(it) if it.reason == Refusal::EngineBroke => {
-                self.broke_off(cx, attempt.request, from);
+                self.attempt_interrupted(cx, attempt.request, from);
             }
             _ => {}
         }
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -137,7 +137,7 @@
 
     pub(crate) fn dispatch(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
-        if !self.holds_back(cx, now, id) && !self.defers(cx, now, id) {
+        if !self.refuse_if_blocked(cx, now, id) && !self.defer_start(cx, now, id) {
             self.place(cx, id);
         }
     }
@@ -145,7 +145,7 @@
     /// Chooses a target for a request and sends it there.
     pub(crate) fn place(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
-        if self.holds_back(cx, now, id) {
+        if self.refuse_if_blocked(cx, now, id) {
             return;
         }
         let Some(open) = self.open.get_mut(&id) else {
@@ -167,7 +167,7 @@
                 let choice = self.targets.choose_owner(now, owner);
                 let since = *open.waiting.get_or_insert(now);
                 if choice.is_none() && now < since + OWNER_WAIT && now < open.run.deadline {
-                    self.want(cx);
+                    self.update_wanted_peers(cx);
                     return;
                 }
                 choice
@@ -254,7 +254,7 @@
                 "target" => &choice.name);
         }
         if !self.watch.suspects.is_empty() {
-            self.note_suspect(now, id);
+            self.log_suspect(now, id);
         }
         let Some(open) = self.open.get_mut(&id) else { return };
         self.targets.sent(&choice.name);
@@ -365,7 +365,7 @@
                 let starts = self.starts.entry(served).or_default();
                 starts.record_end(now.saturating_sub(started), opened);
                 self.traces.add(now, id, Step::Answered);
-                self.ran_whole(id);
+                self.request_completed(id);
             }
             Action::Fail(failure) => self.fail(now, id, failure),
             Action::CountRetry(reason) => {
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -15,7 +15,7 @@
 impl Router {
     /// Lets a stream wait or refuses it, if passes would be too long with it or
     /// its group is closed.
-    pub(crate) fn defers(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
+    pub(crate) fn defer_start(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return true };
         let first = open.flight.attempt().number == 0;
         let Some(route) = open.route.as_ref().filter(|_| first) else { return false };
@@ -41,13 +41,13 @@
                 true
             }
             StartDecision::Refuse(turn) => {
-                self.refuse_until(cx, id, turn, room);
+                self.refuse_start(cx, id, turn, room);
                 true
             }
         }
     }
 
-    fn refuse_until(&mut self, cx: CX![], id: RequestId, wait: Option<Millis>, room: Room) {
+    fn refuse_start(&mut self, cx: CX![], id: RequestId, wait: Option<Millis>, room: Room) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.comeback = wait;
         let open_now = matches!(room, Room::Open { .. } | Room::Free);
@@ -61,24 +61,24 @@
 
     /// Begins those streams that wait and for which there is room now, and
     /// refuses those for which there will be none.
-    pub(crate) fn begin_waiting(&mut self, cx: CX![]) {
+    pub(crate) fn start_waiting(&mut self, cx: CX![]) {
         let services: Vec<Served> = self.starts.keys().cloned().collect();
         for served in services {
             let open = &self.open;
             let Some(starts) = self.starts.get_mut(&served) else { continue };
             starts.retain(|it| open.contains_key(it));
-            self.begin_some(cx, &served);
+            self.start_waiting_of(cx, &served);
         }
     }
 
-    fn begin_some(&mut self, cx: CX![], served: &Served) {
-        while let Some(room) = self.front_room(served) {
+    fn start_waiting_of(&mut self, cx: CX![], served: &Served) {
+        while let Some(room) = self.room_for_next(served) {
             let Some(starts) = self.starts.get_mut(served) else { return };
             let now = clock::now();
             if let Some(id) = starts.next(now, room) {
                 self.place(cx, id);
             } else if let Some((id, turn)) = starts.give_up(now, room) {
-                self.refuse_until(cx, id, turn, room);
+                self.refuse_start(cx, id, turn, room);
             } else {
                 return;
             }
@@ -86,7 +86,7 @@
     }
 
     /// The room for the stream of a service whose turn is next.
-    fn front_room(&self, served: &Served) -> Option<Room> {
+    fn room_for_next(&self, served: &Served) -> Option<Room> {
         let now = clock::now();
         let starts = self.starts.get(served)?;
         let pause = self.open.get(&starts.front(now)?.id)?.route.as_ref()?.pause?;
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -144,7 +144,7 @@
 
 impl Router {
     /// Records that a target broke off an attempt. It may have ended.
-    pub(crate) fn broke_off(&mut self, cx: CX![], id: RequestId, target: &str) {
+    pub(crate) fn attempt_interrupted(&mut self, cx: CX![], id: RequestId, target: &str) {
         let now = clock::now();
         let Some(open) = self.open.get(&id) else { return };
         if self.targets.is_leaving(now, target) {
@@ -159,7 +159,7 @@
         };
         let case = Interrupted { request: id, fingerprint: open.fingerprint(), death };
         match self.watch.deaths.record_interrupted(now, case) {
-            Some(case) => self.ended_under(cx, case),
+            Some(case) => self.target_ended(cx, case),
             None => self.probe(cx, now, target),
         }
     }
@@ -176,12 +176,12 @@
         }
         if !told {
             let target = target.to_owned();
-            after!(LOOK_AGAIN, [cx], look_again(target));
+            after!(LOOK_AGAIN, [cx], probe_again(target));
         }
     }
 
     /// A process that ends may close its connections before it stops to listen.
-    fn look_again(&mut self, cx: CX![], target: String) {
+    fn probe_again(&mut self, cx: CX![], target: String) {
         let waits = self.watch.deaths.is_pending(&target);
         if let Some(to) = self.targets.destination(&target).filter(|_| waits) {
             self.pool.probe(cx, clock::now(), to);
@@ -191,25 +191,25 @@
     /// Records that a target refuses connections: its process has ended.
     pub(crate) fn target_refuses(&mut self, cx: CX![], target: &str) {
         for case in self.watch.deaths.record_refusal(clock::now(), target) {
-            self.ended_under(cx, case);
+            self.target_ended(cx, case);
         }
     }
 
     /// Records that the instance list names a target no more, or a later life of it.
     pub(crate) fn target_gone(&mut self, cx: CX![], target: &str) {
         for case in self.watch.deaths.record_gone(clock::now(), target) {
-            self.ended_under(cx, case);
+            self.target_ended(cx, case);
         }
     }
 
-    fn ended_under(&mut self, cx: CX![], case: Interrupted) {
+    fn target_ended(&mut self, cx: CX![], case: Interrupted) {
         let target = case.death.target.clone();
         self.traces.add(case.death.ended, case.request, Step::TargetEnded { target });
         self.suspect(cx, case.fingerprint, case.death, None);
     }
 
     /// Takes what another process tells of requests.
-    pub(crate) fn told_suspects(&mut self, cx: CX![], peer: PeerKey, it: wire::Suspects) {
+    pub(crate) fn receive_suspects(&mut self, cx: CX![], peer: PeerKey, it: wire::Suspects) {
         let Ok(told) = Told::parse(it) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
@@ -218,7 +218,7 @@
             self.suspect(cx, it, death, Some(peer));
         }
         for it in told.sound {
-            self.absolve(it);
+            self.clear_suspect(it);
         }
     }
 
@@ -230,7 +230,7 @@
         self.metrics.suspects_evicted.inc_by(self.watch.suspects.evicted() - evicted);
         match change {
             Change::Nothing => return,
-            Change::Cleared => return self.tell_sound(it),
+            Change::Cleared => return self.announce_cleared(it),
             Change::Counted | Change::Blocked => {}
         }
         let source = if peer.is_some() { "told" } else { "seen" };
@@ -243,20 +243,20 @@
         }
         if self.watch.untold.deaths.len() < BATCH {
             // At once: the next copy may be on its way to another entry.
-            self.tell_suspects();
+            self.send_suspects();
         }
         if change == Change::Blocked {
-            self.hold_back(cx, now, it);
+            self.block_suspect(cx, now, it);
         }
     }
 
     /// Gives up the copies of a request that are under way, and has agents
     /// remember it for entries that start anew.
-    fn hold_back(&mut self, cx: CX![], now: Millis, it: Fingerprint) {
+    fn block_suspect(&mut self, cx: CX![], now: Millis, it: Fingerprint) {
         let copies = self.open.iter().filter(|(_, open)| open.fingerprint() == it);
         let copies: Vec<RequestId> = copies.map(|(id, _)| *id).collect();
         for id in copies {
-            self.set_comeback(now, id);
+            self.set_retry_delay(now, id);
             self.event(cx, id, 0, Event::EndsTargets);
         }
         let Some(held) = self.watch.held(now) else { return };
@@ -268,7 +268,7 @@
 
     /// Says when the caller of a request that is held back may come again.
     /// Returns false for one that is not.
-    fn set_comeback(&mut self, now: Millis, id: RequestId) -> bool {
+    fn set_retry_delay(&mut self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return false };
         let it = open.fingerprint();
         let until = match self.watch.suspects.standing(now, it) {
@@ -298,8 +298,8 @@
     }
 
     /// Refuses a request that is held back. Whether it is.
-    pub(crate) fn holds_back(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
-        if self.watch.suspects.is_empty() || !self.set_comeback(now, id) {
+    pub(crate) fn refuse_if_blocked(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
+        if self.watch.suspects.is_empty() || !self.set_retry_delay(now, id) {
             return false;
         }
         let Some(open) = self.open.get_mut(&id) else { return false };
@@ -311,7 +311,7 @@
     }
 
     /// A line when a suspected request is sent on all the same.
-    pub(crate) fn note_suspect(&self, now: Millis, id: RequestId) {
+    pub(crate) fn log_suspect(&self, now: Millis, id: RequestId) {
         let Some(open) = self.open.get(&id) else { return };
         let it = open.fingerprint();
         if self.watch.suspects.standing(now, it) == Standing::Suspect {
@@ -322,20 +322,20 @@
     }
 
     /// Records that a target ran a request to its end.
-    pub(crate) fn ran_whole(&mut self, id: RequestId) {
+    pub(crate) fn request_completed(&mut self, id: RequestId) {
         let Some(it) = self.open.get(&id).map(crate::open::Open::fingerprint) else { return };
         if self.watch.suspects.record_completed(clock::now(), it) {
-            self.tell_sound(it);
+            self.announce_cleared(it);
         }
     }
 
-    fn absolve(&mut self, it: Fingerprint) {
+    fn clear_suspect(&mut self, it: Fingerprint) {
         if self.watch.suspects.clear(clock::now(), it) {
-            self.tell_sound(it);
+            self.announce_cleared(it);
         }
     }
 
-    fn tell_sound(&mut self, it: Fingerprint) {
+    fn announce_cleared(&mut self, it: Fingerprint) {
         slog::info!(self.log, "request no longer suspected"; "fingerprint" => %it);
         if self.watch.untold.sound.len() < BACKLOG {
             self.watch.untold.sound.push(it);
@@ -343,7 +343,7 @@
     }
 
     /// Tells the other entries what is new.
-    pub(crate) fn tell_suspects(&mut self) {
+    pub(crate) fn send_suspects(&mut self) {
         let Some(told) = self.watch.next_told() else { return };
         let body = told.body();
         for peer in self.watch.entries() {
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -32,23 +32,23 @@
             for target in self.targets.update_unresponsive(now) {
                 slog::warn!(self.log, "target quiet"; "target" => target);
             }
-            self.settle_limits(now);
-            self.count_targets();
+            self.apply_pending_limits(now);
+            self.update_target_metrics();
         }
-        self.begin_waiting(cx);
-        self.tell_suspects();
+        self.start_waiting(cx);
+        self.send_suspects();
         let ids: Vec<RequestId> = self.open.keys().copied().collect();
         for id in ids {
-            self.tick_one(cx, id);
+            self.tick_request(cx, id);
         }
         self.pool.tick(now);
         let gone = self.targets.remove_expired_if_missing(now);
-        self.forget(cx, &gone);
+        self.remove_targets(cx, &gone);
         self.check_stop(cx, now);
         after!(TICK, [cx], tick());
     }
 
-    fn count_targets(&self) {
+    fn update_target_metrics(&self) {
         let it = self.targets.counts();
         let counts = [
             ("listed", it.listed),
@@ -63,12 +63,12 @@
         }
     }
 
-    fn tick_one(&mut self, cx: CX![], id: RequestId) {
+    fn tick_request(&mut self, cx: CX![], id: RequestId) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
         if open.slot.is_some() {
-            self.await_turn(cx, id);
+            self.check_turn(cx, id);
             return;
         }
         if open.waiting.is_some() {
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -99,20 +99,22 @@
         if limited.is_empty() {
             return false;
         }
-        let most = self.useful_wait(now, id);
-        if self.take_turn(now, id, &limited, most) || self.ask_turn(now, id, &limited, most) {
+        let most = self.max_useful_wait(now, id);
+        if self.reserve_own_turn(now, id, &limited, most)
+            || self.request_turn(now, id, &limited, most)
+        {
             return true;
         }
         if self.open.get(&id).is_some_and(|it| it.begun) {
             return false;
         }
         self.metrics.turns.with_label_values(&["refused"]).inc();
-        self.refuse_turn(cx, now, id, &limited);
+        self.refuse_limited(cx, now, id, &limited);
         true
     }
 
     /// How long a request may wait for its turn and be answered in time.
-    fn useful_wait(&self, now: Millis, id: RequestId) -> Millis {
+    fn max_useful_wait(&self, now: Millis, id: RequestId) -> Millis {
         let Some(open) = self.open.get(&id) else { return 0 };
         let deadline = open.flight.request().deadline;
         if open.begun {
@@ -124,7 +126,13 @@
     }
 
     /// Takes a turn of this entry's own part: the next one there is.
-    fn take_turn(&mut self, now: Millis, id: RequestId, limited: &[String], most: Millis) -> bool {
+    fn reserve_own_turn(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        limited: &[String],
+        most: Millis,
+    ) -> bool {
         let turn = |it: &String| Some((self.targets.next_turn(now, it)?, it.clone()));
         let Some((_, target)) = limited.iter().filter_map(turn).min() else { return false };
         let born = self.targets.started_at(&target);
@@ -132,14 +140,14 @@
         {
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["own"]).inc();
-                self.give_turn(now, id, Given { target, born, at: now + wait });
+                self.schedule_turn(now, id, Given { target, born, at: now + wait });
                 true
             }
             Turn::TooLate(_) | Turn::Never => false,
         }
     }
 
-    fn give_turn(&mut self, now: Millis, id: RequestId, it: Given) {
+    fn schedule_turn(&mut self, now: Millis, id: RequestId, it: Given) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let wait = it.at.saturating_sub(now);
         slog::info!(self.log, "has its turn"; "id" => &open.run.label, "target" => &it.target,
@@ -151,7 +159,13 @@
 
     /// Asks an entry that holds the limit of one of these targets, unless it is known
     /// that none has a turn in time.
-    fn ask_turn(&mut self, now: Millis, id: RequestId, limited: &[String], most: Millis) -> bool {
+    fn request_turn(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        limited: &[String],
+        most: Millis,
+    ) -> bool {
         if self.open.get(&id).is_none_or(|it| it.sought) {
             return false;
         }
@@ -178,7 +192,7 @@
         true
     }
 
-    fn refuse_turn(&mut self, cx: CX![], now: Millis, id: RequestId, limited: &[String]) {
+    fn refuse_limited(&mut self, cx: CX![], now: Millis, id: RequestId, limited: &[String]) {
         let every = |it: &String| {
             let life = TargetIncarnation { name: it, started_at: self.targets.started_at(it) };
             let limit = self.targets.limit(life)?;
@@ -199,7 +213,7 @@
     }
 
     /// Goes on with a request that waits for its turn, once that has come.
-    pub(crate) fn await_turn(&mut self, cx: CX![], id: RequestId) {
+    pub(crate) fn check_turn(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
         let Some(open) = self.open.get(&id) else { return };
         let due = match &open.slot {
@@ -216,7 +230,7 @@
     }
 
     /// Answers another entry that asks for a turn.
-    pub(crate) fn turn_asked(&mut self, peer: PeerKey, it: &wire::TurnAsk) {
+    pub(crate) fn answer_turn_request(&mut self, peer: PeerKey, it: &wire::TurnAsk) {
         let Ok(it) = turns::parse_ask(it) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
@@ -228,7 +242,7 @@
     }
 
     /// Takes another entry's answer.
-    pub(crate) fn turn_answered(&mut self, cx: CX![], it: &wire::TurnAnswer) {
+    pub(crate) fn receive_turn_answer(&mut self, cx: CX![], it: &wire::TurnAnswer) {
         let Ok(it) = turns::parse_answer(it) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
@@ -245,8 +259,8 @@
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["asked"]).inc();
                 let born = self.targets.started_at(&target);
-                self.give_turn(now, it.request, Given { target, born, at: now + wait });
-                self.await_turn(cx, it.request);
+                self.schedule_turn(now, it.request, Given { target, born, at: now + wait });
+                self.check_turn(cx, it.request);
             }
             Turn::TooLate(wait) => {
                 self.turns.heard(now, &target, peer, wait);
