--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -104,7 +104,7 @@
             && self.target_leaving(
                 now,
                 TargetIncarnation { name: &target, started_at: born },
-                Source::Seen,
+                Source::Response,
             )
         {
             self.send_leaving(TargetIncarnation { name: &target, started_at: born });
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -23,16 +23,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     /// Its own answer.
-    Seen,
+    Response,
     /// Another entry.
-    Told,
+    Peer,
 }
 
 impl Source {
     fn label(self) -> &'static str {
         match self {
-            Self::Seen => "seen",
-            Self::Told => "told",
+            Self::Response => "seen",
+            Self::Peer => "told",
         }
     }
 }
@@ -229,7 +229,7 @@
         let now = clock::now();
         let mut news = Vec::new();
         for it in told.leaving {
-            if self.keeps_notice(it) && self.target_leaving(now, it, Source::Told) {
+            if self.keeps_notice(it) && self.target_leaving(now, it, Source::Peer) {
                 news.push(it);
             }
         }
--- a/crates/sablepass-entry/src/open.rs
+++ b/crates/sablepass-entry/src/open.rs
@@ -18,7 +18,7 @@
 use crate::call::Run;
 use crate::pool::ConnectionKey;
 use crate::targets::Served;
-use crate::turns::Slot;
+use crate::turns::PendingTurn;
 
 /// How long a request waits for a group that is about to open. With the time
 /// that its prompt takes it then begins before its caller, who leaves after two
@@ -45,7 +45,7 @@
     /// Since when the request waits for a connection to that target.
     pub(crate) waiting: Option<Millis>,
     /// How it waits for a target that gets as many requests as it takes.
-    pub(crate) slot: Option<Slot>,
+    pub(crate) slot: Option<PendingTurn>,
     /// It has asked another entry for its turn since it was last sent.
     pub(crate) sought: bool,
     /// The target that counts this request as its own.
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -42,7 +42,7 @@
                 if changes.restored {
                     self.resend_notices();
                 }
-                for target in &changes.reborn {
+                for target in &changes.restarted {
                     self.pool.leave(target);
                     self.target_gone(cx, target);
                 }
@@ -60,9 +60,9 @@
     fn log_list_changes(&self, changes: &Changes, revision: Revision) {
         let now = clock::now();
         let said = [
-            ("target listed", &changes.found),
+            ("target listed", &changes.added),
             ("target missing", &changes.missing),
-            ("target started anew", &changes.reborn),
+            ("target started anew", &changes.restarted),
         ];
         for (text, targets) in said {
             for target in targets {
@@ -78,7 +78,7 @@
                 "born" => self.targets.started_at(target), "source" => "listed",
                 "era" => revision.era, "revision" => revision.number);
         }
-        for target in &changes.rested {
+        for target in &changes.pauses_ended {
             slog::info!(self.log, "rest ends"; "target" => target, "why" => "new life");
         }
     }
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -34,10 +34,10 @@
 use crate::openai;
 use crate::pool::{ConnectionKey, Destination, Pool};
 use crate::settings::Settings;
-use crate::suspects::Watch;
+use crate::suspects::SuspectTracker;
 use crate::targets::{self, Choice, Served, Targets, Via};
 use crate::trace::{Step, Traces};
-use crate::turns::Turns;
+use crate::turns::PeerTurns;
 
 /// How long a request waits for a connection to the owner of its key.
 const OWNER_WAIT: Millis = 2_000;
@@ -71,9 +71,9 @@
     pub(crate) pool: Pool,
     pub(crate) traces: Traces,
     /// Requests that end their targets.
-    pub(crate) watch: Watch,
+    pub(crate) watch: SuspectTracker,
     /// What other entries said of turns at targets with limits.
-    pub(crate) turns: Turns,
+    pub(crate) turns: PeerTurns,
     /// Fields of answers that nobody reads.
     pub(crate) unread: Unread,
     pub(crate) rng: StdRng,
@@ -99,9 +99,9 @@
             me: settings.node.name.clone(),
             hall: settings.node.hall.clone(),
             subset: settings.subset,
-            lead: settings.stop_lead,
+            stop_lead: settings.stop_lead,
             silence: settings.silence,
-            stands: settings.stands,
+            group_stall: settings.stands,
             agent_port: settings.agent_port,
         };
         let policy = Policy::parse(&settings.policy).unwrap_or_default();
@@ -115,8 +115,8 @@
             starts: HashMap::new(),
             pool: Pool::open(fwd_to!([cx], direct_event() as ((ConnectionKey, client::Event)))),
             traces: Traces::open(settings.stories),
-            watch: Watch::default(),
-            turns: Turns::default(),
+            watch: SuspectTracker::default(),
+            turns: PeerTurns::default(),
             unread: Unread::default(),
             rng: StdRng::seed_from_u64(rand::random()),
             stopping: None,
@@ -159,8 +159,8 @@
         if let Some(name) = open.counted.take() {
             self.targets.ended(&name);
         }
-        let given = open.slot.take().and_then(|it| it.given());
-        let given = given.and_then(|it| self.targets.choose_reserved(now, it.life()));
+        let given = open.slot.take().and_then(|it| it.granted());
+        let given = given.and_then(|it| self.targets.choose_reserved(now, it.incarnation()));
         let choice = match &open.owner {
             _ if given.is_some() => given,
             Some(owner) => {
@@ -248,7 +248,7 @@
         open.sent = now;
         open.counted = Some(choice.name.clone());
         open.sought = false;
-        if !choice.given && !self.targets.spend(now, &choice.name) {
+        if !choice.reserved && !self.targets.spend(now, &choice.name) {
             self.metrics.sent_over_limit.inc();
             slog::error!(self.log, "sent over the part of a limit"; "id" => &open.run.label,
                 "target" => &choice.name);
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -23,7 +23,7 @@
 use crate::router::Router;
 use crate::trace::Step;
 
-/// Deaths and answers told in one message, at most one in [`crate::ticks::TICK`]:
+/// Deaths and answers told in one message, at most one in [`crate::ticks::TICK_INTERVAL`]:
 /// 64 of some 80 bytes are 5 KB, or 200 KB/s while hundreds of targets end.
 const BATCH: usize = 64;
 /// What waits to be told. More is dropped: it is heard of from the others that saw it.
@@ -64,7 +64,7 @@
 
 /// What this entry knows of requests that end their targets.
 #[derive(Default)]
-pub struct Watch {
+pub struct SuspectTracker {
     pub(crate) suspects: Suspects,
     deaths: Deaths,
     /// Connections to other entries, with their names.
@@ -74,7 +74,7 @@
     probes: Probes,
 }
 
-impl Watch {
+impl SuspectTracker {
     /// Connections to other entries.
     pub(crate) fn entries(&self) -> impl Iterator<Item = PeerKey> {
         self.entries.keys().copied()
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -53,11 +53,11 @@
     /// Targets of a model to keep connections to.
     pub subset: usize,
     /// Time before a planned stop from which its target is not chosen.
-    pub lead: Millis,
+    pub stop_lead: Millis,
     /// Silence after which a target is not chosen.
     pub silence: Millis,
     /// Time for which a group stands before it gives up a rank that it lost.
-    pub stands: Millis,
+    pub group_stall: Millis,
     /// Port of the agents beside listed targets.
     pub agent_port: Option<u16>,
 }
@@ -102,7 +102,7 @@
     /// Candidates there were.
     pub candidates: usize,
     /// Its place under the target's limit is taken already, or its agent sees to that.
-    pub given: bool,
+    pub reserved: bool,
 }
 
 /// The table of targets.
@@ -419,7 +419,7 @@
     /// it said of itself.
     fn returns(&self, now: Millis, name: &str) -> Option<Millis> {
         let stop = self.catalogue.stops.get(name);
-        let stopping = stop.is_some_and(|at| now + self.options.lead >= *at);
+        let stopping = stop.is_some_and(|at| now + self.options.stop_lead >= *at);
         let listed = self.leaving.iter().any(|it| it == name);
         let reached = self.links.contains_key(name) || self.listed.contains_key(name);
         let replaced = self.replaced.contains(name);
@@ -477,7 +477,7 @@
             return None;
         }
         let load = self.candidate(now, it.name)?.load();
-        Some(Choice { given: true, ..self.choice(it.name, load, 1)? })
+        Some(Choice { reserved: true, ..self.choice(it.name, load, 1)? })
     }
 
     /// The owner of a key among all declared targets, whether connected or not.
@@ -499,7 +499,7 @@
         }
         let load = self.candidate(now, name)?.load();
         // No other target will do, whoever holds its limit: its agent says when.
-        Some(Choice { given: true, ..self.choice(name, load, 1)? })
+        Some(Choice { reserved: true, ..self.choice(name, load, 1)? })
     }
 
     fn choice(&self, name: &str, load: f64, candidates: usize) -> Option<Choice> {
@@ -507,6 +507,6 @@
             Some(it) => Via::Direct(it.instance.addr, it.instance.born),
             None => Via::Agent(self.link(name)?, self.members.get(name)?.incarnation),
         };
-        Some(Choice { name: name.to_owned(), via, load, candidates, given: false })
+        Some(Choice { name: name.to_owned(), via, load, candidates, reserved: false })
     }
 }
--- a/crates/sablepass-entry/src/targets/groups.rs
+++ b/crates/sablepass-entry/src/targets/groups.rs
@@ -56,7 +56,7 @@
     /// Looks which groups have lost a rank and do not know it yet.
     pub(super) fn find_broken(&mut self, now: Millis) {
         let broken = self.listed.iter().filter_map(|(name, it)| {
-            let group = self.members.lost_rank(now, name, self.options.stands)?;
+            let group = self.members.lost_rank(now, name, self.options.group_stall)?;
             Some((it.instance.serves.clone(), group))
         });
         self.broken = broken.collect();
@@ -149,7 +149,7 @@
 
     /// When the first of the closed groups opens, as far as is known.
     fn opens(&self, now: Millis, served: &Served) -> Option<Opens> {
-        let times = Times { form: self.form(served).unwrap_or(0), stall: self.options.stands };
+        let times = Times { form: self.form(served).unwrap_or(0), stall: self.options.group_stall };
         let groups = self.groups.get(served)?;
         groups.values().filter_map(|it| it.opens(now, times)).min()
     }
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -29,13 +29,13 @@
     /// Those that are gone for good.
     pub gone: Vec<String>,
     /// Those that started anew under their name.
-    pub reborn: Vec<String>,
+    pub restarted: Vec<String>,
     /// Those of them whose last life still wanted to rest.
-    pub rested: Vec<String>,
+    pub pauses_ended: Vec<String>,
     /// The list was restored from a copy.
     pub restored: bool,
     /// Those that an earlier list did not name.
-    pub found: Vec<String>,
+    pub added: Vec<String>,
     /// Those that the list names no more, or not in their present life.
     pub missing: Vec<String>,
     /// Those that it says are leaving, and that nobody said so of before.
@@ -103,13 +103,13 @@
             }
             if self.listed.get(name).is_some_and(|known| known.instance.born != it.born) {
                 // All that was known of it was of another life.
-                changes.reborn.push(name.clone());
+                changes.restarted.push(name.clone());
                 self.listed.remove(name);
                 self.members.unlisted(name);
             }
             let life = TargetIncarnation { name, started_at: it.born };
             if self.notices.listed(now, life) {
-                changes.rested.push(name.clone());
+                changes.pauses_ended.push(name.clone());
             }
             // Also if its entry lapses and an older one is read.
             if it.leaving && self.notices.leave(now, life) {
@@ -119,7 +119,7 @@
             let misdirected = self.listed.get(name).is_some_and(|it| it.misdirected);
             let listed = Listed { instance: it.clone(), missing: None, misdirected };
             if self.listed.insert(name.clone(), listed).is_none() && !first {
-                changes.found.push(name.clone());
+                changes.added.push(name.clone());
             }
         }
         let is_there =
--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -21,13 +21,13 @@
     /// All of them.
     pub listed: usize,
     /// Agents that this entry is connected to.
-    pub beside: usize,
+    pub agents: usize,
     /// Those whose agent reports.
     pub linked: usize,
     /// Those that may get work.
     pub usable: usize,
     /// Those that asked for a rest.
-    pub resting: usize,
+    pub paused: usize,
     /// Those that name a limit.
     pub limited: usize,
 }
@@ -62,10 +62,10 @@
         let beside: BTreeSet<IpAddr> = self.agents.values().copied().collect();
         Counts {
             listed: self.listed.len(),
-            beside: beside.len(),
+            agents: beside.len(),
             linked: self.listed.keys().filter(|it| member(it).is_some_and(|it| it.linked)).count(),
             usable: self.listed.keys().filter(|it| self.open_for(now, it)).count(),
-            resting: self.paused_count(now),
+            paused: self.paused_count(now),
             limited: self.limits().count(),
         }
     }
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -13,7 +13,7 @@
 use crate::router::Router;
 
 /// Time between two looks at deadlines and silence.
-pub(crate) const TICK: Duration = Duration::from_millis(25);
+pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 impl Router {
     pub(crate) fn tick(&mut self, cx: CX![]) {
@@ -45,17 +45,17 @@
         let gone = self.targets.remove_expired_if_missing(now);
         self.remove_targets(cx, &gone);
         self.check_stop(cx, now);
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
     }
 
     fn update_target_metrics(&self) {
         let it = self.targets.counts();
         let counts = [
             ("listed", it.listed),
-            ("agents", it.beside),
+            ("agents", it.agents),
             ("linked", it.linked),
             ("usable", it.usable),
-            ("resting", it.resting),
+            ("resting", it.paused),
             ("limited", it.limited),
         ];
         for (state, count) in counts {
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -29,45 +29,45 @@
 
 /// How a request waits for its turn.
 #[derive(Clone, Debug)]
-pub(crate) enum Slot {
+pub(crate) enum PendingTurn {
     /// Another entry was asked for one at this target, and is waited for until then.
-    Asked { target: String, peer: PeerKey, until: Millis },
+    Requested { target: String, peer: PeerKey, until: Millis },
     /// Its turn is known.
-    Given(Given),
+    Granted(GrantedTurn),
 }
 
 /// A turn at a target.
 #[derive(Clone, Debug)]
-pub(crate) struct Given {
+pub(crate) struct GrantedTurn {
     target: String,
     born: Millis,
     at: Millis,
 }
 
-impl Given {
+impl GrantedTurn {
     /// The life of the target whose limit it was taken from.
-    pub(crate) fn life(&self) -> TargetIncarnation<'_> {
+    pub(crate) fn incarnation(&self) -> TargetIncarnation<'_> {
         TargetIncarnation { name: &self.target, started_at: self.born }
     }
 }
 
-impl Slot {
+impl PendingTurn {
     /// The turn, if it is known.
-    pub(crate) fn given(self) -> Option<Given> {
+    pub(crate) fn granted(self) -> Option<GrantedTurn> {
         match self {
-            Self::Given(it) => Some(it),
-            Self::Asked { .. } => None,
+            Self::Granted(it) => Some(it),
+            Self::Requested { .. } => None,
         }
     }
 }
 
 /// When each of the other entries said that the next turn of its part comes, by target.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct PeerTurns {
     next: BTreeMap<(String, PeerKey), Millis>,
 }
 
-impl Turns {
+impl PeerTurns {
     /// Milliseconds until the next turn that an entry has at a target; none if it did not
     /// say, or that is over.
     fn wait(&self, now: Millis, target: &str, peer: PeerKey) -> Option<Millis> {
@@ -140,21 +140,21 @@
         {
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["own"]).inc();
-                self.schedule_turn(now, id, Given { target, born, at: now + wait });
+                self.schedule_turn(now, id, GrantedTurn { target, born, at: now + wait });
                 true
             }
             Turn::TooLate(_) | Turn::Never => false,
         }
     }
 
-    fn schedule_turn(&mut self, now: Millis, id: RequestId, it: Given) {
+    fn schedule_turn(&mut self, now: Millis, id: RequestId, it: GrantedTurn) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let wait = it.at.saturating_sub(now);
         slog::info!(self.log, "has its turn"; "id" => &open.run.label, "target" => &it.target,
             "wait" => wait);
         self.traces.add(now, id, Step::Turn { target: it.target.clone(), wait });
         open.waiting = Some(now);
-        open.slot = Some(Slot::Given(it));
+        open.slot = Some(PendingTurn::Granted(it));
     }
 
     /// Asks an entry that holds the limit of one of these targets, unless it is known
@@ -187,7 +187,8 @@
         if let Some(open) = self.open.get_mut(&id) {
             open.sought = true;
             open.waiting = Some(now);
-            open.slot = Some(Slot::Asked { target: target.clone(), peer, until: now + ANSWERS });
+            open.slot =
+                Some(PendingTurn::Requested { target: target.clone(), peer, until: now + ANSWERS });
         }
         true
     }
@@ -217,12 +218,12 @@
         let now = clock::now();
         let Some(open) = self.open.get(&id) else { return };
         let due = match &open.slot {
-            Some(Slot::Given(it)) => it.at,
-            Some(Slot::Asked { until, .. }) => *until,
+            Some(PendingTurn::Granted(it)) => it.at,
+            Some(PendingTurn::Requested { until, .. }) => *until,
             None => return,
         };
         if now >= due {
-            if matches!(open.slot, Some(Slot::Asked { .. })) {
+            if matches!(open.slot, Some(PendingTurn::Requested { .. })) {
                 self.metrics.turns.with_label_values(&["unanswered"]).inc();
             }
             self.place(cx, id);
@@ -249,8 +250,9 @@
         };
         let now = clock::now();
         let open = self.open.get_mut(&it.request);
-        let slot = open.and_then(|it| it.slot.take_if(|it| matches!(it, Slot::Asked { .. })));
-        let Some(Slot::Asked { target, peer, .. }) = slot else {
+        let slot =
+            open.and_then(|it| it.slot.take_if(|it| matches!(it, PendingTurn::Requested { .. })));
+        let Some(PendingTurn::Requested { target, peer, .. }) = slot else {
             // It was not waited for so long.
             self.metrics.ignored(Ignored::LateAnswer);
             return;
@@ -259,7 +261,7 @@
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["asked"]).inc();
                 let born = self.targets.started_at(&target);
-                self.schedule_turn(now, it.request, Given { target, born, at: now + wait });
+                self.schedule_turn(now, it.request, GrantedTurn { target, born, at: now + wait });
                 self.check_turn(cx, it.request);
             }
             Turn::TooLate(wait) => {
