--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -28,10 +28,10 @@
 use sablepass_edge::mesh::{PeerKey, Wanted};
 
 /// How long a connection made for one key's owner is kept.
-const OWNER_KEEP: Millis = 60_000;
+const OWNER_LINK_RETENTION: Millis = 60_000;
 
 /// Agents that remember one thing: two machines may be lost at once.
-const KEEPERS: usize = 3;
+const SUSPECT_REPLICAS: usize = 3;
 
 /// What targets are found by: kind and qualified model or service.
 pub type Served = (Kind, String);
@@ -77,7 +77,7 @@
     /// Since when.
     since: Millis,
     /// From when on it counts as gone, and gets no work.
-    gone: Millis,
+    gone_at: Millis,
 }
 
 /// A target of the instance list.
@@ -114,8 +114,8 @@
     members: Members,
     links: HashMap<String, PeerKey>,
     names: HashMap<PeerKey, String>,
-    owners: BTreeMap<String, Millis>,
-    leaving: Vec<String>,
+    wanted_owners: BTreeMap<String, Millis>,
+    listed_leaving: Vec<String>,
     /// What targets said of themselves to this entry.
     notices: Notices,
     /// Targets that are reached straight, by id.
@@ -124,30 +124,30 @@
     /// until its lease is over, and its successor starts at the same address.
     replaced: BTreeSet<String>,
     /// When the first list came.
-    learning: Option<Millis>,
+    first_list_at: Option<Millis>,
     /// The groups of services whose targets are ranks.
     groups: HashMap<Served, BTreeMap<u32, Forming>>,
     /// Services of which a target refused work before its agent was heard.
-    suspects: BTreeSet<String>,
+    suspected_closed: BTreeSet<String>,
     /// Agents of those, by connection.
-    agents: HashMap<PeerKey, IpAddr>,
+    listed_agents: HashMap<PeerKey, IpAddr>,
     /// When what all agents told was last looked at.
-    looked: Millis,
+    evaluated_at: Millis,
     /// Targets whose machine counts as asleep.
-    quiet: BTreeSet<String>,
+    unresponsive: BTreeSet<String>,
     /// Those and targets whose group stands: they get no work while there are others.
-    idle: BTreeSet<String>,
+    avoided: BTreeSet<String>,
     counts: watch::Counts,
     /// Groups, by service, that lost a rank and have not noticed yet. What is sent to
     /// their other ranks runs no more, and is turned away when they notice.
-    broken: BTreeSet<(String, u32)>,
+    broken_groups: BTreeSet<(String, u32)>,
     /// Entries met over connections to them, this one included.
-    met: usize,
+    connected_entries: usize,
     /// Entries that the instance list names.
     listed_entries: usize,
     /// Era of the list, and when a later one last took over from it.
     era: u64,
-    restored: Millis,
+    restored_at: Millis,
     sharers: Sharers,
     /// Who uses the limits that targets name.
     holders: Holders,
@@ -164,24 +164,24 @@
             subsets: HashMap::new(),
             links: HashMap::new(),
             names: HashMap::new(),
-            owners: BTreeMap::new(),
-            leaving: Vec::new(),
+            wanted_owners: BTreeMap::new(),
+            listed_leaving: Vec::new(),
             notices: Notices::default(),
             listed: BTreeMap::new(),
             replaced: BTreeSet::new(),
-            learning: None,
+            first_list_at: None,
             groups: HashMap::new(),
-            suspects: BTreeSet::new(),
-            agents: HashMap::new(),
-            looked: 0,
-            quiet: BTreeSet::new(),
-            idle: BTreeSet::new(),
+            suspected_closed: BTreeSet::new(),
+            listed_agents: HashMap::new(),
+            evaluated_at: 0,
+            unresponsive: BTreeSet::new(),
+            avoided: BTreeSet::new(),
             counts: watch::Counts::default(),
-            broken: BTreeSet::new(),
-            met: 1,
+            broken_groups: BTreeSet::new(),
+            connected_entries: 1,
             listed_entries: 0,
             era: 0,
-            restored: 0,
+            restored_at: 0,
             sharers: Sharers::open(options.agent_port.is_some()),
             holders: Holders::open(&options.me),
             chooser: Chooser::open(policy),
@@ -202,14 +202,14 @@
     /// Takes a new catalogue.
     pub fn set_catalogue(&mut self, catalogue: Rc<Catalogue>) {
         self.catalogue = catalogue;
-        self.index();
+        self.rebuild_index();
     }
 
     /// The processes to be connected to: agents of declared targets, and those
     /// beside listed ones that are ranks of a group.
     pub fn wanted_peers(&mut self, now: Millis) -> Vec<Wanted> {
-        self.owners.retain(|_, until| *until > now);
-        let declared = self.subsets.values().flatten().chain(self.owners.keys());
+        self.wanted_owners.retain(|_, until| *until > now);
+        let declared = self.subsets.values().flatten().chain(self.wanted_owners.keys());
         let declared = declared.filter(|it| self.catalogue.targets.contains_key(*it));
         let mut wanted: Vec<Wanted> = declared.cloned().map(Wanted::Named).collect();
         let engine = |it: &&Listed| {
@@ -237,7 +237,7 @@
 
     /// Connections to the agents beside listed targets.
     pub fn listed_agents(&self) -> impl Iterator<Item = PeerKey> {
-        self.agents.keys().copied()
+        self.listed_agents.keys().copied()
     }
 
     /// Records a connection to the agent beside listed targets. False if the
@@ -247,7 +247,7 @@
         let Some(addr) = addr.filter(|_| self.options.agent_port.is_some()) else {
             return false;
         };
-        self.agents.insert(peer, addr.ip());
+        self.listed_agents.insert(peer, addr.ip());
         true
     }
 
@@ -259,7 +259,7 @@
         peer: PeerKey,
         report: Report,
     ) -> Option<Vec<String>> {
-        let ip = self.agents.get(&peer)?;
+        let ip = self.listed_agents.get(&peer)?;
         let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == *ip);
         let mut began = Vec::new();
         let mut changed = false;
@@ -272,14 +272,14 @@
             changed |= before.is_some_and(|it| it.refuses != report.refuses);
         }
         if changed {
-            self.find_broken(now);
+            self.update_broken_groups(now);
         }
         Some(began)
     }
 
     /// Listed targets beside the agent of a connection.
     pub fn targets_of_agent(&self, peer: PeerKey) -> Vec<String> {
-        let Some(ip) = self.agents.get(&peer) else { return Vec::new() };
+        let Some(ip) = self.listed_agents.get(&peer) else { return Vec::new() };
         let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == *ip);
         there.map(|it| it.0.clone()).collect()
     }
@@ -287,11 +287,11 @@
     /// The agents that are to remember something for entries that start anew.
     /// All entries choose the same of those that they are connected to.
     pub fn replica_agents(&self, key: &str) -> Vec<PeerKey> {
-        let beside = self.agents.iter().map(|(peer, ip)| (ip.to_string(), *peer));
+        let beside = self.listed_agents.iter().map(|(peer, ip)| (ip.to_string(), *peer));
         let linked = self.links.iter().map(|(name, peer)| (name.clone(), *peer));
         let agents: BTreeMap<String, PeerKey> = beside.chain(linked).collect();
         let ranked = rendezvous::rank(key, agents.keys().map(String::as_str));
-        ranked.iter().take(KEEPERS).filter_map(|it| agents.get(*it).copied()).collect()
+        ranked.iter().take(SUSPECT_REPLICAS).filter_map(|it| agents.get(*it).copied()).collect()
     }
 
     /// Records a connection to an agent.
@@ -309,7 +309,7 @@
 
     /// Records the end of a connection, and returns whose it was.
     pub fn agent_disconnected(&mut self, peer: PeerKey) -> Option<String> {
-        if let Some(ip) = self.agents.remove(&peer) {
+        if let Some(ip) = self.listed_agents.remove(&peer) {
             let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == ip);
             there.for_each(|it| self.members.agent_disconnected(it.0));
         }
@@ -360,7 +360,7 @@
         self.back_off(name, until);
         if let Some(it) = self.listed.get_mut(name) {
             it.misdirected = true;
-            self.find_replaced();
+            self.update_replaced();
         }
     }
 
@@ -410,20 +410,20 @@
     }
 
     /// Whether a target may get new work, but for a limit that it names.
-    fn open_for(&self, now: Millis, name: &str) -> bool {
-        self.accepts_work(now, self.life(name))
-            && self.returns(now, name).is_some_and(|it| now >= it)
+    fn is_available(&self, now: Millis, name: &str) -> bool {
+        self.accepts_work(now, self.incarnation(name))
+            && self.available_at(now, name).is_some_and(|it| now >= it)
     }
 
     /// Until when a target is left alone that may get new work but for that, and for what
     /// it said of itself.
-    fn returns(&self, now: Millis, name: &str) -> Option<Millis> {
+    fn available_at(&self, now: Millis, name: &str) -> Option<Millis> {
         let stop = self.catalogue.stops.get(name);
         let stopping = stop.is_some_and(|at| now + self.options.stop_lead >= *at);
-        let listed = self.leaving.iter().any(|it| it == name);
+        let listed = self.listed_leaving.iter().any(|it| it == name);
         let reached = self.links.contains_key(name) || self.listed.contains_key(name);
         let replaced = self.replaced.contains(name);
-        let unknown = self.is_unknown(now, name) || self.is_broken(name);
+        let unknown = self.may_be_closed(now, name) || self.is_in_broken_group(name);
         let may = reached && !replaced && !stopping && !listed && !unknown;
         self.members.usable_after_back_off(now, name).filter(|_| may).map(|it| it.backed_off_until)
     }
@@ -457,11 +457,11 @@
         tried: &[String],
     ) -> Option<Choice> {
         let names = self.subsets.get(served)?;
-        let open: Vec<&String> = names.iter().filter(|it| self.open_for(now, it)).collect();
+        let open: Vec<&String> = names.iter().filter(|it| self.is_available(now, it)).collect();
         let fresh: Vec<&String> = open.iter().copied().filter(|it| !tried.contains(it)).collect();
         let names = if fresh.is_empty() { open } else { fresh };
         let names = names.into_iter().filter(|it| self.has_turn(now, it)).collect();
-        let names = self.awake(names);
+        let names = self.prefer_responsive(names);
         let candidates: Vec<Candidate<'_>> =
             names.iter().filter_map(|it| self.candidate(now, it)).collect();
         let index = self.chooser.choose(rng, prefix, &candidates)?;
@@ -473,7 +473,7 @@
 
     /// A target at which the request has its turn, if that may get work now.
     pub fn choose_reserved(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Choice> {
-        if self.is_past(it) || !self.open_for(now, it.name) {
+        if self.is_former_incarnation(it) || !self.is_available(now, it.name) {
             return None;
         }
         let load = self.candidate(now, it.name)?.load();
@@ -491,10 +491,10 @@
     /// connection is wanted from now on.
     pub fn choose_owner(&mut self, now: Millis, name: &str) -> Option<Choice> {
         if !self.links.contains_key(name) {
-            self.owners.insert(name.to_owned(), now + OWNER_KEEP);
+            self.wanted_owners.insert(name.to_owned(), now + OWNER_LINK_RETENTION);
             return None;
         }
-        if !self.open_for(now, name) {
+        if !self.is_available(now, name) {
             return None;
         }
         let load = self.candidate(now, name)?.load();
--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -10,11 +10,11 @@
 
 /// Seconds for which a request holds a place, to tell how many places a limit fills: as
 /// streams last.
-const LASTS: f64 = 2.0;
+const REQUEST_SECONDS: f64 = 2.0;
 
 impl Targets {
     /// Compares the entries known by name with how many there are.
-    pub(super) fn watch_holders(&mut self, now: Millis) {
+    pub(super) fn update_holders(&mut self, now: Millis) {
         let count = self.sharers.is_known().then(|| self.sharers.count());
         if self.holders.watch(now, count) {
             self.notices.update_shares(now, &self.holders);
@@ -35,11 +35,11 @@
         sent: Millis,
         named: Option<Rate>,
     ) -> Change {
-        if self.is_past(it) {
+        if self.is_former_incarnation(it) {
             return Change::None;
         }
         let change = self.notices.answered(now, it, sent, named, &self.holders);
-        self.note_listing(now, it.name);
+        self.note_if_unlisted(now, it.name);
         change
     }
 
@@ -50,11 +50,11 @@
         it: TargetIncarnation<'_>,
         rate: Option<Rate>,
     ) -> Change {
-        if self.is_past(it) {
+        if self.is_former_incarnation(it) {
             return Change::None;
         }
         let change = self.notices.reported_by_peer(now, it, rate, &self.holders);
-        self.note_listing(now, it.name);
+        self.note_if_unlisted(now, it.name);
         change
     }
 
@@ -65,7 +65,7 @@
         name: &str,
         rate: Option<Rate>,
     ) -> Change {
-        let life = self.life(name);
+        let life = self.incarnation(name);
         self.notices.reported_by_agent(now, life, rate, &self.holders)
     }
 
@@ -86,12 +86,12 @@
 
     /// Whether this entry may send a target one more request now, by its limit.
     pub(super) fn has_turn(&self, now: Millis, name: &str) -> bool {
-        matches!(self.notices.next(now, self.life(name)), None | Some(Turn::In(0)))
+        matches!(self.notices.next(now, self.incarnation(name)), None | Some(Turn::In(0)))
     }
 
     /// Takes a request out of this entry's part of a target's limit. False if that has none.
     pub fn spend(&mut self, now: Millis, name: &str) -> bool {
-        let life = self.life(name);
+        let life = self.incarnation(name);
         matches!(self.notices.reserve(now, life, 0), None | Some(Turn::In(_)))
     }
 
@@ -106,7 +106,7 @@
     /// are others.
     pub fn limited_targets(&self, now: Millis, served: &Served, tried: &[String]) -> Vec<String> {
         let names = self.subsets.get(served).map(Vec::as_slice).unwrap_or_default();
-        let limited = |it: &&String| self.open_for(now, it) && !self.has_turn(now, it);
+        let limited = |it: &&String| self.is_available(now, it) && !self.has_turn(now, it);
         let limited: Vec<&String> = names.iter().filter(limited).collect();
         let fresh: Vec<&String> =
             limited.iter().copied().filter(|it| !tried.contains(it)).collect();
@@ -116,7 +116,7 @@
 
     /// When this entry may send a target one more request, if it holds a part of its limit.
     pub fn next_turn(&self, now: Millis, name: &str) -> Option<Millis> {
-        match self.notices.next(now, self.life(name))? {
+        match self.notices.next(now, self.incarnation(name))? {
             Turn::In(it) => Some(it),
             Turn::TooLate(_) | Turn::Never => None,
         }
@@ -125,7 +125,7 @@
     /// Takes a request, to be sent within `most` milliseconds, out of this entry's part of
     /// the limit of a target that may get work.
     pub fn reserve(&mut self, now: Millis, it: TargetIncarnation<'_>, most: Millis) -> Turn {
-        if self.is_past(it) || !self.open_for(now, it.name) {
+        if self.is_former_incarnation(it) || !self.is_available(now, it.name) {
             return Turn::Never;
         }
         self.notices.reserve(now, it, most).unwrap_or(Turn::Never)
@@ -133,7 +133,7 @@
 
     /// The other entries that hold a target's limit.
     pub fn limit_holders(&self, name: &str) -> Vec<&str> {
-        let life = self.life(name);
+        let life = self.incarnation(name);
         self.limit(life).map_or_else(Vec::new, |it| self.holders.other_holders(life, it.rate()))
     }
 
@@ -143,8 +143,8 @@
     }
 
     /// Places of a target, as many as a limit lets through.
-    pub(super) fn places(&self, name: &str, capacity: f64) -> f64 {
-        let limit = self.limit(self.life(name));
-        limit.map_or(capacity, |it| capacity.min(it.rate().per_second() * LASTS))
+    pub(super) fn limited_capacity(&self, name: &str, capacity: f64) -> f64 {
+        let limit = self.limit(self.incarnation(name));
+        limit.map_or(capacity, |it| capacity.min(it.rate().per_second() * REQUEST_SECONDS))
     }
 }
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -19,9 +19,9 @@
 
 /// Time from the return of the list's service in which targets that it names no more may have
 /// lapsed while it was away: those that live are back within about two seconds.
-const RETURN: Millis = 3_000;
+const LIST_RECOVERY_GRACE: Millis = 3_000;
 /// How long a target is remembered that the list names no more, for what it still runs.
-const KEEP: Millis = 1_200;
+const MISSING_RETENTION: Millis = 1_200;
 
 /// What a new list says of targets that the one before did not.
 #[derive(Debug, Default)]
@@ -62,20 +62,21 @@
     /// Whether the list names a target no more, and not because it lapsed.
     pub(super) fn is_gone(&self, now: Millis, name: &str) -> bool {
         let missing = self.listed.get(name).and_then(|it| it.missing);
-        missing.is_some_and(|it| now >= it.gone)
+        missing.is_some_and(|it| now >= it.gone_at)
     }
 
     /// How much longer a target gets work that the list names no more; none if it names it.
     pub fn remaining_use(&self, now: Millis, name: &str) -> Option<Millis> {
         let missing = self.listed.get(name)?.missing?;
-        Some(missing.gone.saturating_sub(now))
+        Some(missing.gone_at.saturating_sub(now))
     }
 
     /// Whether a target is leaving.
     pub fn is_leaving(&self, now: Millis, name: &str) -> bool {
         let member = self.members.get(name);
-        let said = self.has_left(now, self.life(name));
-        said || member.is_some_and(|it| it.leaving) || self.leaving.iter().any(|it| it == name)
+        let said = self.has_left(now, self.incarnation(name));
+        said || member.is_some_and(|it| it.leaving)
+            || self.listed_leaving.iter().any(|it| it == name)
     }
 
     /// Takes a new instance list.
@@ -85,20 +86,20 @@
         let before = std::mem::replace(&mut self.era, era);
         let mut changes = Changes::default();
         if before > 0 && before < era {
-            self.restored = now;
+            self.restored_at = now;
             changes.restored = true;
         }
-        let back = self.restored.max(*back);
-        let first = self.learning.is_none();
+        let back = self.restored_at.max(*back);
+        let first = self.first_list_at.is_none();
         if !instances.is_empty() {
-            self.learning.get_or_insert(now);
+            self.first_list_at.get_or_insert(now);
         }
         let entries = instances.values().filter(|it| it.role == Role::Entry).count();
         self.listed_entries = entries;
         let leaving = instances.iter().filter(|(_, it)| it.leaving);
-        self.leaving = leaving.map(|(name, _)| name.clone()).collect();
+        self.listed_leaving = leaving.map(|(name, _)| name.clone()).collect();
         for (name, it) in instances.iter().filter(|(_, it)| it.role == Role::Target) {
-            if self.is_former(name, it, *began) {
+            if self.is_outdated(name, it, *began) {
                 continue;
             }
             if self.listed.get(name).is_some_and(|known| known.instance.born != it.born) {
@@ -122,12 +123,14 @@
                 changes.added.push(name.clone());
             }
         }
-        let is_there =
-            |name: &String| instances.get(name).is_some_and(|it| !self.is_former(name, it, *began));
+        let is_there = |name: &String| {
+            instances.get(name).is_some_and(|it| !self.is_outdated(name, it, *began))
+        };
         let missing: Vec<String> = self.listed.keys().filter(|it| !is_there(it)).cloned().collect();
         for name in missing {
             if let Some(it) = self.listed.get_mut(&name).filter(|it| it.missing.is_none()) {
-                it.missing = Some(Missing { since: now, gone: now.max(back + RETURN) });
+                it.missing =
+                    Some(Missing { since: now, gone_at: now.max(back + LIST_RECOVERY_GRACE) });
                 changes.missing.push(name);
             }
         }
@@ -139,7 +142,7 @@
     /// the one known, as a copy from which the list was restored may, or of none, as one that
     /// another writer left. A line that was written later counts: the clock of a target that
     /// started anew may be behind.
-    fn is_former(&self, name: &str, line: &Instance, began: Revision) -> bool {
+    fn is_outdated(&self, name: &str, line: &Instance, began: Revision) -> bool {
         let listed = self.listed.get(name).map_or(0, |it| it.instance.born);
         let known = listed.max(self.notices.born(name));
         line.born < known && (line.born == 0 || line.revision <= began)
@@ -147,8 +150,9 @@
 
     /// Drops targets that the list has not named for long enough.
     pub fn remove_expired(&mut self, now: Millis) -> Vec<String> {
-        let over =
-            |it: &Listed| it.missing.is_some_and(|it| now >= it.gone && now >= it.since + KEEP);
+        let over = |it: &Listed| {
+            it.missing.is_some_and(|it| now >= it.gone_at && now >= it.since + MISSING_RETENTION)
+        };
         let gone: Vec<String> =
             self.listed.iter().filter(|it| over(it.1)).map(|it| it.0.clone()).collect();
         for name in &gone {
@@ -156,7 +160,7 @@
             self.members.unlisted(name);
             self.notices.unlisted(now, name);
         }
-        self.index();
+        self.rebuild_index();
         gone
     }
 
@@ -168,7 +172,7 @@
 
     /// Finds the targets whose address a later one has. One that turned out
     /// not to be there replaces nothing.
-    pub(super) fn find_replaced(&mut self) {
+    pub(super) fn update_replaced(&mut self) {
         let mut latest: HashMap<SocketAddr, Revision> = HashMap::new();
         let there = |it: &&Listed| it.missing.is_none() && !it.misdirected;
         for it in self.listed.values().filter(there) {
@@ -180,8 +184,8 @@
         self.replaced = replaced.map(|it| it.0.clone()).collect();
     }
 
-    pub(super) fn index(&mut self) {
-        self.find_replaced();
+    pub(super) fn rebuild_index(&mut self) {
+        self.update_replaced();
         self.serving.clear();
         for (name, it) in &self.catalogue.targets {
             let served = (it.resource.kind, format!("{}/{}", it.partner, it.resource.serves));
--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -10,21 +10,21 @@
 
 impl Targets {
     /// The present life of a target.
-    pub(super) fn life<'a>(&self, name: &'a str) -> TargetIncarnation<'a> {
+    pub(super) fn incarnation<'a>(&self, name: &'a str) -> TargetIncarnation<'a> {
         TargetIncarnation { name, started_at: self.started_at(name) }
     }
 
     /// Records that a target wants nothing for so long. Whether it rests only since now.
     pub fn record_pause(&mut self, now: Millis, it: TargetIncarnation<'_>, asked: Millis) -> bool {
-        let begins = !self.is_past(it) && self.notices.pause(now, it, asked);
-        self.note_listing(now, it.name);
+        let begins = !self.is_former_incarnation(it) && self.notices.pause(now, it, asked);
+        self.note_if_unlisted(now, it.name);
         begins
     }
 
     /// Records that a target leaves. Whether that is new.
     pub fn record_leaving(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
-        let begins = !self.is_past(it) && self.notices.leave(now, it);
-        self.note_listing(now, it.name);
+        let begins = !self.is_former_incarnation(it) && self.notices.leave(now, it);
+        self.note_if_unlisted(now, it.name);
         begins
     }
 
@@ -34,11 +34,11 @@
     }
 
     /// Whether a life of a target is over, and another one listed.
-    pub(super) fn is_past(&self, it: TargetIncarnation<'_>) -> bool {
+    pub(super) fn is_former_incarnation(&self, it: TargetIncarnation<'_>) -> bool {
         self.listed.get(it.name).is_some_and(|known| known.instance.born != it.started_at)
     }
 
-    pub(super) fn note_listing(&mut self, now: Millis, name: &str) {
+    pub(super) fn note_if_unlisted(&mut self, now: Millis, name: &str) {
         if !self.listed.contains_key(name) {
             self.notices.unlisted(now, name);
         }
@@ -66,7 +66,7 @@
 
     /// Whether a target was known to leave before a request was sent there.
     pub fn was_leaving_before(&self, it: TargetIncarnation<'_>, sent: Millis) -> bool {
-        let gone = self.listed.get(it.name).and_then(|it| it.missing).map(|it| it.gone);
+        let gone = self.listed.get(it.name).and_then(|it| it.missing).map(|it| it.gone_at);
         let since = self.notices.leaving_since(it).into_iter().chain(gone).min();
         since.is_some_and(|since| sent > since)
     }
@@ -77,7 +77,7 @@
     }
 
     /// Whether a target rests that is reached through its agent.
-    fn rests_behind_agent(&self, now: Millis, name: &str) -> bool {
+    fn is_paused_behind_agent(&self, now: Millis, name: &str) -> bool {
         let member = self.members.get(name);
         member.is_some_and(|it| it.source == Source::Heartbeats && now < it.backed_off_until)
     }
@@ -86,12 +86,12 @@
     /// and some of them asked for it.
     pub fn pause_ends_at(&self, now: Millis, served: &Served) -> Option<Millis> {
         let names = self.subsets.get(served)?;
-        let rests = |it: &String| self.notices.paused_until(now, self.life(it));
-        let asked = |it: &String| rests(it).is_some() || self.rests_behind_agent(now, it);
-        if !names.iter().any(asked) || names.iter().any(|it| self.open_for(now, it)) {
+        let rests = |it: &String| self.notices.paused_until(now, self.incarnation(it));
+        let asked = |it: &String| rests(it).is_some() || self.is_paused_behind_agent(now, it);
+        if !names.iter().any(asked) || names.iter().any(|it| self.is_available(now, it)) {
             return None;
         }
-        let there = names.iter().filter(|it| !self.has_left(now, self.life(it)));
-        there.filter_map(|it| Some(self.returns(now, it)?.max(rests(it).unwrap_or(0)))).min()
+        let there = names.iter().filter(|it| !self.has_left(now, self.incarnation(it)));
+        there.filter_map(|it| Some(self.available_at(now, it)?.max(rests(it).unwrap_or(0)))).min()
     }
 }
--- a/crates/sablepass-entry/src/targets/shares.rs
+++ b/crates/sablepass-entry/src/targets/shares.rs
@@ -37,15 +37,15 @@
     pub(super) fn shares_by_group(&self, now: Millis, served: &Served) -> BTreeMap<u32, Share> {
         let mut shares: BTreeMap<u32, Share> = BTreeMap::new();
         let Some(subset) = self.subsets.get(served) else { return shares };
-        let sharing = self.sharing(served);
-        let open = subset.iter().filter(|it| self.open_for(now, it)).collect();
-        for name in self.awake(open) {
+        let sharing = self.entries_per_target(served);
+        let open = subset.iter().filter(|it| self.is_available(now, it)).collect();
+        for name in self.prefer_responsive(open) {
             let (Some(it), Some(member)) = (self.candidate(now, name), self.members.get(name))
             else {
                 continue;
             };
             let share = shares.entry(member.report.group).or_default();
-            let places = self.places(name, f64::from(it.capacity));
+            let places = self.limited_capacity(name, f64::from(it.capacity));
             share.capacity += places / sharing;
             share.load += member.share(sharing).min(places);
             share.targets += 1.0;
@@ -54,7 +54,7 @@
     }
 
     /// Entries that share a target of what serves.
-    pub(super) fn sharing(&self, served: &Served) -> f64 {
+    pub(super) fn entries_per_target(&self, served: &Served) -> f64 {
         let subset = self.subsets.get(served).map_or(0, Vec::len) as f64;
         let declared = self.serving.get(served).map_or(1, Vec::len).max(1) as f64;
         (self.sharers.count() as f64 * subset / declared).max(1.0)
--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -13,7 +13,7 @@
 use crate::targets::Targets;
 
 /// Time between two looks at what all agents told: half of their heartbeat.
-const LOOK: Millis = 100;
+const EVALUATION_INTERVAL: Millis = 100;
 
 /// How many listed targets there are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -35,15 +35,15 @@
 impl Targets {
     /// Says which other entries this one knows of by itself.
     pub fn set_peers(&mut self, others: Vec<String>) {
-        self.met = others.len() + 1;
+        self.connected_entries = others.len() + 1;
         self.holders.set_peers(others);
     }
 
     /// Counts the entries anew, by connections to them and by the agents' word.
     pub fn count_entries(&mut self, now: Millis) {
-        let met = self.met.max(self.listed_entries);
+        let met = self.connected_entries.max(self.listed_entries);
         self.sharers.watch(now, met, self.members.entries(now));
-        self.watch_holders(now);
+        self.update_holders(now);
     }
 
     /// Those that share targets and budgets.
@@ -59,12 +59,12 @@
     /// Counts the listed targets.
     fn count(&self, now: Millis) -> Counts {
         let member = |name: &&String| self.members.get(name);
-        let beside: BTreeSet<IpAddr> = self.agents.values().copied().collect();
+        let beside: BTreeSet<IpAddr> = self.listed_agents.values().copied().collect();
         Counts {
             listed: self.listed.len(),
             agents: beside.len(),
             linked: self.listed.keys().filter(|it| member(it).is_some_and(|it| it.linked)).count(),
-            usable: self.listed.keys().filter(|it| self.open_for(now, it)).count(),
+            usable: self.listed.keys().filter(|it| self.is_available(now, it)).count(),
             paused: self.paused_count(now),
             limited: self.limits().count(),
         }
@@ -72,9 +72,9 @@
 
     /// Whether it is time to look again at what all agents told.
     pub fn evaluation_due(&mut self, now: Millis) -> bool {
-        let due = now >= self.looked + LOOK;
+        let due = now >= self.evaluated_at + EVALUATION_INTERVAL;
         if due {
-            self.looked = now;
+            self.evaluated_at = now;
         }
         due
     }
@@ -82,25 +82,25 @@
     /// Looks again whose machine counts as asleep. Returns those that do since now.
     pub fn update_unresponsive(&mut self, now: Millis) -> Vec<String> {
         let quiet = self.members.unresponsive(now);
-        let fresh = quiet.difference(&self.quiet).cloned().collect();
-        self.find_broken(now);
+        let fresh = quiet.difference(&self.unresponsive).cloned().collect();
+        self.update_broken_groups(now);
         self.notices.sweep(now);
         self.members.expire_loads(now);
         self.counts = self.count(now);
-        self.idle = self.members.stalled(now).chain(&quiet).cloned().collect();
-        self.quiet = quiet;
+        self.avoided = self.members.stalled(now).chain(&quiet).cloned().collect();
+        self.unresponsive = quiet;
         fresh
     }
 
     /// Those of some targets that are not idle, unless all are.
-    pub(super) fn awake<'a>(&self, names: Vec<&'a String>) -> Vec<&'a String> {
+    pub(super) fn prefer_responsive<'a>(&self, names: Vec<&'a String>) -> Vec<&'a String> {
         let awake: Vec<&String> =
-            names.iter().copied().filter(|it| !self.idle.contains(*it)).collect();
+            names.iter().copied().filter(|it| !self.avoided.contains(*it)).collect();
         if awake.is_empty() { names } else { awake }
     }
 
     /// Whether a target's machine counts as asleep.
     pub fn is_unresponsive(&self, name: &str) -> bool {
-        self.quiet.contains(name)
+        self.unresponsive.contains(name)
     }
 }
