--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -1,11 +1,11 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The targets as this entry sees them: declared or listed, connected, live,
-//! loaded.
+//! Table of the targets that this entry can send requests to, with their liveness, load, limits and
+//! groups. The router updates it and asks it to choose a target.
 //!
-//! A declared target is reached through its agent; a listed one straight, and
-//! its agent, if it has one, only tells its load.
+//! A declared target is reached through its agent. A target of the instance list is reached
+//! directly; its agent, if it has one, only reports the load.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -27,13 +27,13 @@
 use sablepass_edge::instance::Instance;
 use sablepass_edge::mesh::{PeerKey, Wanted};
 
-/// How long a connection made for one key's owner is kept.
+/// How long a connection that was opened to reach the owner of a key is kept.
 const OWNER_LINK_RETENTION: Millis = 60_000;
 
-/// Agents that remember one thing: two machines may be lost at once.
+/// Number of agents that store each record of a blocked request: two machines may be lost at once.
 const SUSPECT_REPLICAS: usize = 3;
 
-/// What targets are found by: kind and qualified model or service.
+/// Key by which targets are looked up: their kind, and the qualified name of their model or service.
 pub type Served = (Kind, String);
 
 mod groups;
@@ -43,40 +43,40 @@
 mod shares;
 mod watch;
 
-/// Limits that the settings give.
+/// Settings of the target table.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This entry's name and hall.
+    /// This entry's name.
     pub me: String,
-    /// This entry's hall.
+    /// This entry's data hall.
     pub hall: String,
-    /// Targets of a model to keep connections to.
+    /// Number of targets of a model or service that this entry uses.
     pub subset: usize,
-    /// Time before a planned stop from which its target is not chosen.
+    /// Time before the planned stop of a target from which it is not chosen.
     pub stop_lead: Millis,
-    /// Silence after which a target is not chosen.
+    /// Time without a heartbeat after which a target is not chosen.
     pub silence: Millis,
-    /// Time for which a group stands before it gives up a rank that it lost.
+    /// Time for which a group stalls before it gives up a lost rank.
     pub group_stall: Millis,
-    /// Port of the agents beside listed targets.
+    /// Port of the agents on the machines of listed targets; none if there are no such agents.
     pub agent_port: Option<u16>,
 }
 
-/// How a target is reached.
+/// Path by which a target is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Via {
-    /// Over a connection to its agent of this incarnation.
+    /// Through its agent: the connection, and the agent's incarnation.
     Agent(PeerKey, Incarnation),
-    /// Straight, at its address, in the life that began then.
+    /// Directly: its address, and the start time of its incarnation.
     Direct(SocketAddr, Millis),
 }
 
-/// A target that the list names no more.
+/// State of a target that the instance list no longer contains.
 #[derive(Clone, Copy, Debug)]
 struct Missing {
-    /// Since when.
+    /// Since when the list does not contain the target.
     since: Millis,
-    /// From when on it counts as gone, and gets no work.
+    /// When the target counts as gone and gets no more work.
     gone_at: Millis,
 }
 
@@ -84,78 +84,87 @@
 #[derive(Clone, Debug)]
 struct Listed {
     instance: Instance,
-    /// Set while the list names it no more.
+    /// Set while the list does not contain the target.
     missing: Option<Missing>,
-    /// Another one answered at its address.
+    /// Whether another target answered at its address.
     misdirected: bool,
 }
 
-/// A chosen target.
+/// A target chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// Qualified name.
     pub name: String,
-    /// How it is reached.
+    /// Path by which it is reached.
     pub via: Via,
-    /// Its load when chosen.
+    /// Load relative to capacity when it was chosen.
     pub load: f64,
-    /// Candidates there were.
+    /// Number of candidates it was chosen from.
     pub candidates: usize,
-    /// Its place under the target's limit is taken already, or its agent sees to that.
+    /// Whether the request needs no further turn under the target's limit: the turn is reserved
+    /// already, or the target's agent enforces the limit.
     pub reserved: bool,
 }
 
-/// The table of targets.
+/// Table of targets.
 pub struct Targets {
     options: Options,
     catalogue: Rc<Catalogue>,
+    /// Names of all targets of each model or service.
     serving: HashMap<Served, Vec<String>>,
+    /// Names of the targets of each model or service that this entry uses.
     subsets: HashMap<Served, Vec<String>>,
     members: Members,
+    /// Connections to the agents of declared targets, by target.
     links: HashMap<String, PeerKey>,
+    /// Declared targets by the connection to their agent.
     names: HashMap<PeerKey, String>,
+    /// Owners of keys to which a connection is required, with the end of that requirement.
     wanted_owners: BTreeMap<String, Millis>,
+    /// Instances that the list marks as leaving.
     listed_leaving: Vec<String>,
-    /// What targets said of themselves to this entry.
+    /// Notices that targets announced to this entry or its peers.
     notices: Notices,
-    /// Targets that are reached straight, by id.
+    /// Targets of the instance list, which are reached directly, by name.
     listed: BTreeMap<String, Listed>,
-    /// Those whose address a later one has: the list names a target that died
-    /// until its lease is over, and its successor starts at the same address.
+    /// Listed targets whose address belongs to a later one: the list contains a target that died
+    /// until its lease expires, and its successor may start at the same address.
     replaced: BTreeSet<String>,
-    /// When the first list came.
+    /// When the first instance list that was not empty was received.
     first_list_at: Option<Millis>,
-    /// The groups of services whose targets are ranks.
+    /// State of the groups of each service whose targets are ranks, by group id.
     groups: HashMap<Served, BTreeMap<u32, Forming>>,
-    /// Services of which a target refused work before its agent was heard.
+    /// Services that may have a closed group: a target refused work before its agent had reported.
     suspected_closed: BTreeSet<String>,
-    /// Agents of those, by connection.
+    /// IP addresses of the agents of listed targets, by connection.
     listed_agents: HashMap<PeerKey, IpAddr>,
-    /// When what all agents told was last looked at.
+    /// When the reports of all agents were last evaluated.
     evaluated_at: Millis,
-    /// Targets whose machine counts as asleep.
+    /// Targets whose machine counts as unresponsive.
     unresponsive: BTreeSet<String>,
-    /// Those and targets whose group stands: they get no work while there are others.
+    /// Unresponsive targets, and targets whose group is stalled: they get no work while there are
+    /// others.
     avoided: BTreeSet<String>,
     counts: watch::Counts,
-    /// Groups, by service, that lost a rank and have not noticed yet. What is sent to
-    /// their other ranks runs no more, and is turned away when they notice.
+    /// Groups, by service, that lost a rank and have not noticed yet. Requests sent to their other
+    /// ranks do not run, and are refused once the group notices.
     broken_groups: BTreeSet<(String, u32)>,
-    /// Entries met over connections to them, this one included.
+    /// Number of entries known from connections to them, this one included.
     connected_entries: usize,
-    /// Entries that the instance list names.
+    /// Number of entries in the instance list.
     listed_entries: usize,
-    /// Era of the list, and when a later one last took over from it.
+    /// Era of the instance list.
     era: u64,
+    /// When the list was last restored, which starts a later era.
     restored_at: Millis,
     sharers: Sharers,
-    /// Who uses the limits that targets name.
+    /// Entries that hold the limits that targets announce.
     holders: Holders,
     chooser: Chooser,
 }
 
 impl Targets {
-    /// Opens an empty table.
+    /// Creates an empty table.
     pub fn open(options: Options, policy: balance::Policy) -> Self {
         Self {
             members: Members::open(options.silence),
@@ -189,24 +198,24 @@
         }
     }
 
-    /// What is declared.
+    /// The declarations in force.
     pub fn catalogue(&self) -> &Rc<Catalogue> {
         &self.catalogue
     }
 
-    /// The agents heard of.
+    /// Last known state of the targets and their agents.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Takes a new catalogue.
+    /// Replaces the declarations.
     pub fn set_catalogue(&mut self, catalogue: Rc<Catalogue>) {
         self.catalogue = catalogue;
         self.rebuild_index();
     }
 
-    /// The processes to be connected to: agents of declared targets, and those
-    /// beside listed ones that are ranks of a group.
+    /// The processes to connect to: agents of the declared targets in use, and agents of listed
+    /// targets that have an engine.
     pub fn wanted_peers(&mut self, now: Millis) -> Vec<Wanted> {
         self.wanted_owners.retain(|_, until| *until > now);
         let declared = self.subsets.values().flatten().chain(self.wanted_owners.keys());
@@ -225,7 +234,8 @@
         wanted
     }
 
-    /// The qualified name of what a customer of `partner` asks for.
+    /// Resolves the name in a request of a customer of `partner`: the partner's own model or
+    /// service takes precedence over a qualified name.
     pub fn resolve(&self, partner: &str, kind: Kind, serves: &str) -> Option<Served> {
         let own = (kind, format!("{partner}/{serves}"));
         if self.serving.contains_key(&own) {
@@ -235,13 +245,13 @@
         self.serving.contains_key(&given).then_some(given)
     }
 
-    /// Connections to the agents beside listed targets.
+    /// Connections to the agents of listed targets.
     pub fn listed_agents(&self) -> impl Iterator<Item = PeerKey> {
         self.listed_agents.keys().copied()
     }
 
-    /// Records a connection to the agent beside listed targets. False if the
-    /// endpoint is not one of those.
+    /// Records a connection to an agent of listed targets. Returns false if the endpoint is not
+    /// an address, or no such agents are configured.
     pub fn listed_agent_connected(&mut self, peer: PeerKey, endpoint: &str) -> bool {
         let addr: Option<SocketAddr> = endpoint.parse().ok();
         let Some(addr) = addr.filter(|_| self.options.agent_port.is_some()) else {
@@ -251,8 +261,8 @@
         true
     }
 
-    /// Records the heartbeat of an agent beside listed targets, and returns
-    /// the targets that began to crawl. None if the connection is not to one.
+    /// Records the heartbeat of an agent of listed targets. Returns the targets that have become
+    /// severely degraded; none if the connection is not to such an agent.
     pub fn record_listed_heartbeat(
         &mut self,
         now: Millis,
@@ -277,15 +287,15 @@
         Some(began)
     }
 
-    /// Listed targets beside the agent of a connection.
+    /// Listed targets on the machine of an agent.
     pub fn targets_of_agent(&self, peer: PeerKey) -> Vec<String> {
         let Some(ip) = self.listed_agents.get(&peer) else { return Vec::new() };
         let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == *ip);
         there.map(|it| it.0.clone()).collect()
     }
 
-    /// The agents that are to remember something for entries that start anew.
-    /// All entries choose the same of those that they are connected to.
+    /// The agents that store the record `key` for entries that restart. All entries choose the same
+    /// ones among the agents that they are connected to.
     pub fn replica_agents(&self, key: &str) -> Vec<PeerKey> {
         let beside = self.listed_agents.iter().map(|(peer, ip)| (ip.to_string(), *peer));
         let linked = self.links.iter().map(|(name, peer)| (name.clone(), *peer));
@@ -294,7 +304,7 @@
         ranked.iter().take(SUSPECT_REPLICAS).filter_map(|it| agents.get(*it).copied()).collect()
     }
 
-    /// Records a connection to an agent.
+    /// Records a connection to the agent of a declared target.
     pub fn agent_connected(
         &mut self,
         now: Millis,
@@ -307,7 +317,7 @@
         self.names.insert(peer, name.to_owned());
     }
 
-    /// Records the end of a connection, and returns whose it was.
+    /// Records the end of a connection. Returns the declared target whose agent it led to, if any.
     pub fn agent_disconnected(&mut self, peer: PeerKey) -> Option<String> {
         if let Some(ip) = self.listed_agents.remove(&peer) {
             let there = self.listed.iter().filter(|it| it.1.instance.addr.ip() == ip);
@@ -319,22 +329,22 @@
         Some(name)
     }
 
-    /// Whose connection this is.
+    /// The declared target whose agent a connection leads to.
     pub fn target_name(&self, peer: PeerKey) -> Option<&str> {
         self.names.get(&peer).map(String::as_str)
     }
 
-    /// The connection to a target's agent.
+    /// The connection to the agent of a declared target.
     pub fn link(&self, name: &str) -> Option<PeerKey> {
         self.links.get(name).copied()
     }
 
-    /// Records a heartbeat.
+    /// Records the heartbeat of a declared target's agent.
     pub fn record_heartbeat(&mut self, now: Millis, name: &str, report: Report) {
         self.members.record_heartbeat(now, name, report);
     }
 
-    /// Records that an agent said it is leaving.
+    /// Records that an agent announced that it is leaving.
     pub fn mark_leaving(&mut self, name: &str) {
         self.members.mark_leaving(name);
     }
@@ -344,94 +354,97 @@
         self.members.refused_connection(name);
     }
 
-    /// Records what a target told of its load.
+    /// Records the load that a target reported: running and queued requests.
     pub fn record_load(&mut self, now: Millis, name: &str, requests: u32) {
         self.members.record_load(now, name, requests);
     }
 
-    /// Records that a target is better left alone until `until`.
+    /// Backs a target off until `until`.
     pub fn back_off(&mut self, name: &str, until: Millis) {
         self.members.back_off(name, until);
     }
 
-    /// Records that another target answered at the address of this one, which
-    /// is left alone until `until`.
+    /// Records that another target answered at the address of this one, which is backed off until
+    /// `until`.
     pub fn record_misdirected(&mut self, name: &str, until: Millis) {
         self.back_off(name, until);
-        if let Some(it) = self.listed.get_mut(name) {
-            it.misdirected = true;
+        if let Some(listed) = self.listed.get_mut(name) {
+            listed.misdirected = true;
             self.update_replaced();
         }
     }
 
-    /// Records that a target answered a request as it should.
+    /// Records that a target completed a request successfully.
     pub fn record_success(&mut self, name: &str) {
         self.members.record_success(name);
     }
 
-    /// Records that a target failed a request. After some in a row it is left
-    /// alone, while most of those that serve the same are not; returns for how
-    /// long.
+    /// Records that a target failed a request. After several consecutive failures the target is
+    /// backed off, unless half of the targets of its service are backed off already. Returns the
+    /// back-off time, if it is backed off.
     pub fn record_failure(&mut self, now: Millis, name: &str) -> Option<Millis> {
-        let rest = self.members.record_failure(name)?;
+        let back_off = self.members.record_failure(name)?;
         let serves = self.listed.get(name)?.instance.serves.clone();
         let names = self.serving.get(&(Kind::Service, serves))?;
-        let alone = |it: &&String| {
+        let backed_off = |it: &&String| {
             let member = self.members.get(it);
             member.is_some_and(|it| now < it.backed_off_until)
         };
-        if names.iter().filter(alone).count() * 2 >= names.len() {
+        if names.iter().filter(backed_off).count() * 2 >= names.len() {
             return None;
         }
-        self.back_off(name, now + rest);
-        Some(rest)
+        self.back_off(name, now + back_off);
+        Some(back_off)
     }
 
-    /// Records a request sent.
+    /// Records that a request was sent to a target.
     pub fn sent(&mut self, name: &str) {
         self.members.sent(name);
     }
 
-    /// Records the end of a request sent.
+    /// Records that a request sent to a target ended.
     pub fn ended(&mut self, name: &str) {
         self.members.ended(name);
     }
 
-    /// When a target last gave a sign of life.
+    /// When a target last responded; 0 if it is unknown.
     pub fn last_alive(&self, name: &str) -> Millis {
         self.members.get(name).map_or(0, |it| it.last_alive)
     }
 
-    /// Connections whose agent has been silent for too long.
+    /// Connections to agents of declared targets that have sent no heartbeat for too long.
     pub fn silent_agents(&self, now: Millis) -> Vec<PeerKey> {
-        let heard = |name: &str| self.members.get(name).map_or(0, |it| it.heartbeat_at);
-        let silent = |name: &str| now.saturating_sub(heard(name)) >= self.options.silence;
+        let heartbeat_at = |name: &str| self.members.get(name).map_or(0, |it| it.heartbeat_at);
+        let silent = |name: &str| now.saturating_sub(heartbeat_at(name)) >= self.options.silence;
         self.names.iter().filter(|(_, name)| silent(name)).map(|(peer, _)| *peer).collect()
     }
 
-    /// Whether a target may get new work, but for a limit that it names.
+    /// Whether a target may get new work now, regardless of its limit.
     fn is_available(&self, now: Millis, name: &str) -> bool {
         self.accepts_work(now, self.incarnation(name))
             && self.available_at(now, name).is_some_and(|it| now >= it)
     }
 
-    /// Until when a target is left alone that may get new work but for that, and for what
-    /// it said of itself.
+    /// When the back-off of a target ends, regardless of the notices that it announced; none if it
+    /// may not get new work for another reason.
     fn available_at(&self, now: Millis, name: &str) -> Option<Millis> {
         let stop = self.catalogue.stops.get(name);
         let stopping = stop.is_some_and(|at| now + self.options.stop_lead >= *at);
-        let listed = self.listed_leaving.iter().any(|it| it == name);
+        let leaving = self.listed_leaving.iter().any(|it| it == name);
         let reached = self.links.contains_key(name) || self.listed.contains_key(name);
         let replaced = self.replaced.contains(name);
-        let unknown = self.may_be_closed(now, name) || self.is_in_broken_group(name);
-        let may = reached && !replaced && !stopping && !listed && !unknown;
-        self.members.usable_after_back_off(now, name).filter(|_| may).map(|it| it.backed_off_until)
+        let closed = self.may_be_closed(now, name) || self.is_in_broken_group(name);
+        let eligible = reached && !replaced && !stopping && !leaving && !closed;
+        self.members
+            .usable_after_back_off(now, name)
+            .filter(|_| eligible)
+            .map(|it| it.backed_off_until)
     }
 
     fn candidate<'a>(&self, now: Millis, name: &'a str) -> Option<Candidate<'a>> {
         let member = self.members.usable(now, name)?;
         let (hall, capacity) = match self.listed.get(name) {
-            Some(it) => (&it.instance.hall, it.instance.capacity),
+            Some(listed) => (&listed.instance.hall, listed.instance.capacity),
             None => {
                 let declared = self.catalogue.targets.get(name)?;
                 (&declared.resource.hall, declared.resource.capacity)
@@ -447,7 +460,7 @@
         })
     }
 
-    /// Chooses a target for a request, not among those tried while there are others.
+    /// Chooses a target for a request. Targets in `tried` are excluded while there are others.
     pub fn choose(
         &mut self,
         now: Millis,
@@ -471,24 +484,28 @@
         self.choice(&name, load, candidates)
     }
 
-    /// A target at which the request has its turn, if that may get work now.
-    pub fn choose_reserved(&self, now: Millis, it: TargetIncarnation<'_>) -> Option<Choice> {
-        if self.is_former_incarnation(it) || !self.is_available(now, it.name) {
+    /// The target at which a request has reserved a turn, if that target may get work now.
+    pub fn choose_reserved(
+        &self,
+        now: Millis,
+        incarnation: TargetIncarnation<'_>,
+    ) -> Option<Choice> {
+        if self.is_former_incarnation(incarnation) || !self.is_available(now, incarnation.name) {
             return None;
         }
-        let load = self.candidate(now, it.name)?.load();
-        Some(Choice { reserved: true, ..self.choice(it.name, load, 1)? })
+        let load = self.candidate(now, incarnation.name)?.load();
+        Some(Choice { reserved: true, ..self.choice(incarnation.name, load, 1)? })
     }
 
-    /// The owner of a key among all declared targets, whether connected or not.
+    /// The owner of a key among all targets of a model or service, connected or not.
     pub fn owner(&self, served: &Served, key: &Key) -> Option<String> {
         let names = self.serving.get(served)?;
-        let text = gate::owner_key(key);
-        rendezvous::owner(&text, names.iter().map(String::as_str)).map(str::to_owned)
+        let owner_key = gate::owner_key(key);
+        rendezvous::owner(&owner_key, names.iter().map(String::as_str)).map(str::to_owned)
     }
 
-    /// The owner as a choice, if it may get work now. An owner without a
-    /// connection is wanted from now on.
+    /// The owner of a key as a choice, if it may get work now. If there is no connection to the
+    /// owner, one is required from now on.
     pub fn choose_owner(&mut self, now: Millis, name: &str) -> Option<Choice> {
         if !self.links.contains_key(name) {
             self.wanted_owners.insert(name.to_owned(), now + OWNER_LINK_RETENTION);
@@ -498,13 +515,14 @@
             return None;
         }
         let load = self.candidate(now, name)?.load();
-        // No other target will do, whoever holds its limit: its agent says when.
+        // Only the owner may run the request, whichever entries hold its limit: its agent enforces
+        // the limit.
         Some(Choice { reserved: true, ..self.choice(name, load, 1)? })
     }
 
     fn choice(&self, name: &str, load: f64, candidates: usize) -> Option<Choice> {
         let via = match self.listed.get(name) {
-            Some(it) => Via::Direct(it.instance.addr, it.instance.born),
+            Some(listed) => Via::Direct(listed.instance.addr, listed.instance.born),
             None => Via::Agent(self.link(name)?, self.members.get(name)?.incarnation),
         };
         Some(Choice { name: name.to_owned(), via, load, candidates, reserved: false })
