--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The list of targets: which are there, which have left, and which address is
-//! whose.
+//! Applies the instance list to the target table: which targets exist, which have restarted or
+//! left, and which target an address belongs to.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,69 +17,72 @@
 use crate::pool::Destination;
 use crate::targets::{Listed, Missing, Targets};
 
-/// Time from the return of the list's service in which targets that it names no more may have
-/// lapsed while it was away: those that live are back within about two seconds.
+/// Time after the list's service became available again in which a target may be missing from the
+/// list only because its lease expired during the outage: running targets are listed again within
+/// about two seconds.
 const LIST_RECOVERY_GRACE: Millis = 3_000;
-/// How long a target is remembered that the list names no more, for what it still runs.
+/// How long a target is kept that the list no longer contains, since requests may still run there.
 const MISSING_RETENTION: Millis = 1_200;
 
-/// What a new list says of targets that the one before did not.
+/// Differences between a new instance list and the state known before.
 #[derive(Debug, Default)]
 pub struct Changes {
-    /// Those that are gone for good.
+    /// Targets that were removed from the table.
     pub gone: Vec<String>,
-    /// Those that started anew under their name.
+    /// Targets that restarted under the same name.
     pub restarted: Vec<String>,
-    /// Those of them whose last life still wanted to rest.
+    /// Restarted targets whose previous incarnation had a pause that was not over.
     pub pauses_ended: Vec<String>,
-    /// The list was restored from a copy.
+    /// Whether the list was restored from a backup.
     pub restored: bool,
-    /// Those that an earlier list did not name.
+    /// Targets that an earlier list did not contain.
     pub added: Vec<String>,
-    /// Those that the list names no more, or not in their present life.
+    /// Targets that the list no longer contains, or not in their current incarnation.
     pub missing: Vec<String>,
-    /// Those that it says are leaving, and that nobody said so of before.
+    /// Targets that the list marks as leaving and that were not known to leave before.
     pub leaving: Vec<String>,
 }
 
 impl Targets {
-    /// When a target's present life began; 0 if it does not say.
+    /// Start time of a target's current incarnation; 0 if the list does not tell.
     pub fn started_at(&self, name: &str) -> Millis {
         self.listed.get(name).map_or(0, |it| it.instance.born)
     }
 
-    /// Revision of a target's line in the list.
+    /// Revision of the list in which a target's line was written.
     pub fn line_revision(&self, name: &str) -> Revision {
         self.listed.get(name).map_or_else(Revision::default, |it| it.instance.revision)
     }
 
-    /// Where a listed target takes requests in its present life.
+    /// Address and current incarnation of a listed target.
     pub fn destination<'a>(&self, target: &'a str) -> Option<Destination<'a>> {
-        let it = &self.listed.get(target)?.instance;
-        Some(Destination { target, born: it.born, addr: it.addr })
+        let instance = &self.listed.get(target)?.instance;
+        Some(Destination { target, born: instance.born, addr: instance.addr })
     }
 
-    /// Whether the list names a target no more, and not because it lapsed.
+    /// Whether a target is missing from the list and counts as gone.
     pub(super) fn is_gone(&self, now: Millis, name: &str) -> bool {
         let missing = self.listed.get(name).and_then(|it| it.missing);
         missing.is_some_and(|it| now >= it.gone_at)
     }
 
-    /// How much longer a target gets work that the list names no more; none if it names it.
+    /// How much longer a target that the list no longer contains gets work; none if the list
+    /// contains it.
     pub fn remaining_use(&self, now: Millis, name: &str) -> Option<Millis> {
         let missing = self.listed.get(name)?.missing?;
         Some(missing.gone_at.saturating_sub(now))
     }
 
-    /// Whether a target is leaving.
+    /// Whether a target is leaving, as announced by itself, its agent or the list.
     pub fn is_leaving(&self, now: Millis, name: &str) -> bool {
         let member = self.members.get(name);
-        let said = self.has_left(now, self.incarnation(name));
-        said || member.is_some_and(|it| it.leaving)
+        let has_left = self.has_left(now, self.incarnation(name));
+        has_left
+            || member.is_some_and(|it| it.leaving)
             || self.listed_leaving.iter().any(|it| it == name)
     }
 
-    /// Takes a new instance list.
+    /// Applies a new instance list. Returns what changed.
     pub fn apply_list(&mut self, now: Millis, list: &Listing) -> Changes {
         let Listing { instances, revision, began, back } = list;
         let era = revision.era;
@@ -98,27 +101,27 @@
         self.listed_entries = entries;
         let leaving = instances.iter().filter(|(_, it)| it.leaving);
         self.listed_leaving = leaving.map(|(name, _)| name.clone()).collect();
-        for (name, it) in instances.iter().filter(|(_, it)| it.role == Role::Target) {
-            if self.is_outdated(name, it, *began) {
+        for (name, instance) in instances.iter().filter(|(_, it)| it.role == Role::Target) {
+            if self.is_outdated(name, instance, *began) {
                 continue;
             }
-            if self.listed.get(name).is_some_and(|known| known.instance.born != it.born) {
-                // All that was known of it was of another life.
+            if self.listed.get(name).is_some_and(|known| known.instance.born != instance.born) {
+                // Everything known about the target belongs to another incarnation.
                 changes.restarted.push(name.clone());
                 self.listed.remove(name);
                 self.members.unlisted(name);
             }
-            let life = TargetIncarnation { name, started_at: it.born };
-            if self.notices.listed(now, life) {
+            let incarnation = TargetIncarnation { name, started_at: instance.born };
+            if self.notices.listed(now, incarnation) {
                 changes.pauses_ended.push(name.clone());
             }
-            // Also if its entry lapses and an older one is read.
-            if it.leaving && self.notices.leave(now, life) {
+            // Recorded as a notice, which holds even if the line lapses and an older one is read.
+            if instance.leaving && self.notices.leave(now, incarnation) {
                 changes.leaving.push(name.clone());
             }
-            self.members.listed(now, name, it.leaving);
+            self.members.listed(now, name, instance.leaving);
             let misdirected = self.listed.get(name).is_some_and(|it| it.misdirected);
-            let listed = Listed { instance: it.clone(), missing: None, misdirected };
+            let listed = Listed { instance: instance.clone(), missing: None, misdirected };
             if self.listed.insert(name.clone(), listed).is_none() && !first {
                 changes.added.push(name.clone());
             }
@@ -128,8 +131,8 @@
         };
         let missing: Vec<String> = self.listed.keys().filter(|it| !is_there(it)).cloned().collect();
         for name in missing {
-            if let Some(it) = self.listed.get_mut(&name).filter(|it| it.missing.is_none()) {
-                it.missing =
+            if let Some(listed) = self.listed.get_mut(&name).filter(|it| it.missing.is_none()) {
+                listed.missing =
                     Some(Missing { since: now, gone_at: now.max(back + LIST_RECOVERY_GRACE) });
                 changes.missing.push(name);
             }
@@ -138,23 +141,24 @@
         changes
     }
 
-    /// Whether a line does not tell of a target's present life: it tells of an earlier one than
-    /// the one known, as a copy from which the list was restored may, or of none, as one that
-    /// another writer left. A line that was written later counts: the clock of a target that
-    /// started anew may be behind.
+    /// Whether a line does not describe a target's current incarnation. It may describe an earlier
+    /// one than is known, as after the list was restored from a backup, or have no start time, as
+    /// when another writer left it. A line with a start time that was written after `began` is
+    /// never outdated, even if that start time is earlier: the clock of a restarted target may be
+    /// behind.
     fn is_outdated(&self, name: &str, line: &Instance, began: Revision) -> bool {
         let listed = self.listed.get(name).map_or(0, |it| it.instance.born);
         let known = listed.max(self.notices.born(name));
         line.born < known && (line.born == 0 || line.revision <= began)
     }
 
-    /// Drops targets that the list has not named for long enough.
+    /// Removes targets that the list has not contained for long enough, and returns them.
     pub fn remove_expired(&mut self, now: Millis) -> Vec<String> {
-        let over = |it: &Listed| {
+        let expired = |it: &Listed| {
             it.missing.is_some_and(|it| now >= it.gone_at && now >= it.since + MISSING_RETENTION)
         };
         let gone: Vec<String> =
-            self.listed.iter().filter(|it| over(it.1)).map(|it| it.0.clone()).collect();
+            self.listed.iter().filter(|it| expired(it.1)).map(|it| it.0.clone()).collect();
         for name in &gone {
             self.listed.remove(name);
             self.members.unlisted(name);
@@ -164,35 +168,39 @@
         gone
     }
 
-    /// The same, if any target is missing.
+    /// The same as [`Self::remove_expired`], but does nothing unless a target is missing.
     pub fn remove_expired_if_missing(&mut self, now: Millis) -> Vec<String> {
         let missing = self.listed.values().any(|it| it.missing.is_some());
         if missing { self.remove_expired(now) } else { Vec::new() }
     }
 
-    /// Finds the targets whose address a later one has. One that turned out
-    /// not to be there replaces nothing.
+    /// Updates the set of targets whose address belongs to a later one. A target that was found not
+    /// to be at its address replaces no other.
     pub(super) fn update_replaced(&mut self) {
         let mut latest: HashMap<SocketAddr, Revision> = HashMap::new();
-        let there = |it: &&Listed| it.missing.is_none() && !it.misdirected;
-        for it in self.listed.values().filter(there) {
-            let revision = latest.entry(it.instance.addr).or_default();
-            *revision = it.instance.revision.max(*revision);
+        let present = |it: &&Listed| it.missing.is_none() && !it.misdirected;
+        for listed in self.listed.values().filter(present) {
+            let revision = latest.entry(listed.instance.addr).or_default();
+            *revision = listed.instance.revision.max(*revision);
         }
         let old = |it: &Listed| latest.get(&it.instance.addr) > Some(&it.instance.revision);
         let replaced = self.listed.iter().filter(|it| old(it.1));
         self.replaced = replaced.map(|it| it.0.clone()).collect();
     }
 
+    /// Rebuilds the tables derived from the declarations and the instance list.
     pub(super) fn rebuild_index(&mut self) {
         self.update_replaced();
         self.serving.clear();
-        for (name, it) in &self.catalogue.targets {
-            let served = (it.resource.kind, format!("{}/{}", it.partner, it.resource.serves));
+        for (name, declared) in &self.catalogue.targets {
+            let served = (
+                declared.resource.kind,
+                format!("{}/{}", declared.partner, declared.resource.serves),
+            );
             self.serving.entry(served).or_default().push(name.clone());
         }
-        for (name, it) in &self.listed {
-            let served = (Kind::Service, it.instance.serves.clone());
+        for (name, listed) in &self.listed {
+            let served = (Kind::Service, listed.instance.serves.clone());
             self.serving.entry(served).or_default().push(name.clone());
         }
         let subset = |names: &Vec<String>| {
