--- a/crates/sablepass-entry/src/targets/limits.rs
+++ b/crates/sablepass-entry/src/targets/limits.rs
@@ -1,19 +1,20 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Limits that targets name: what this entry may send of them, and to whom others turn.
+//! Rate limits that targets announce: this entry's share of each limit, and the peers that hold the
+//! rest. The router reserves turns here, a turn being the permission to send one request.
 
 use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::limits::{Change, Limit, Rate, Turn};
 
 use crate::targets::{Served, Targets};
 
-/// Seconds for which a request holds a place, to tell how many places a limit fills: as
-/// streams last.
+/// Seconds for which a request occupies a slot, by which a rate limit is converted to a number of
+/// slots: about the duration of a stream.
 const REQUEST_SECONDS: f64 = 2.0;
 
 impl Targets {
-    /// Compares the entries known by name with how many there are.
+    /// Updates the holders of limits from the number of entries.
     pub(super) fn update_holders(&mut self, now: Millis) {
         let count = self.sharers.is_known().then(|| self.sharers.count());
         if self.holders.watch(now, count) {
@@ -21,89 +22,96 @@
         }
     }
 
-    /// Records that this process did not run for a while.
+    /// Records that this process resumed after a suspension.
     pub fn resumed(&mut self, now: Millis) {
         self.holders.resumed(now);
         self.notices.update_shares(now, &self.holders);
     }
 
-    /// Takes the limit that an answer names, or that it names none, to a request sent at `sent`.
+    /// Processes the limit that a response announces, or that it announces none. The request was
+    /// sent at `sent`.
     pub fn limit_announced(
         &mut self,
         now: Millis,
-        it: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         sent: Millis,
-        named: Option<Rate>,
+        announced: Option<Rate>,
     ) -> Change {
-        if self.is_former_incarnation(it) {
+        if self.is_former_incarnation(incarnation) {
             return Change::None;
         }
-        let change = self.notices.answered(now, it, sent, named, &self.holders);
-        self.note_if_unlisted(now, it.name);
+        let change = self.notices.answered(now, incarnation, sent, announced, &self.holders);
+        self.note_if_unlisted(now, incarnation.name);
         change
     }
 
-    /// Takes what another entry tells of a target's limit.
+    /// Processes a peer's report of a target's limit; no rate means that the limit ended.
     pub fn limit_reported_by_peer(
         &mut self,
         now: Millis,
-        it: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         rate: Option<Rate>,
     ) -> Change {
-        if self.is_former_incarnation(it) {
+        if self.is_former_incarnation(incarnation) {
             return Change::None;
         }
-        let change = self.notices.reported_by_peer(now, it, rate, &self.holders);
-        self.note_if_unlisted(now, it.name);
+        let change = self.notices.reported_by_peer(now, incarnation, rate, &self.holders);
+        self.note_if_unlisted(now, incarnation.name);
         change
     }
 
-    /// Takes what the agent before a target tells of its limit.
+    /// Processes the report of a target's limit by the agent through which its requests go.
     pub fn limit_reported_by_agent(
         &mut self,
         now: Millis,
         name: &str,
         rate: Option<Rate>,
     ) -> Change {
-        let life = self.incarnation(name);
-        self.notices.reported_by_agent(now, life, rate, &self.holders)
+        let incarnation = self.incarnation(name);
+        self.notices.reported_by_agent(now, incarnation, rate, &self.holders)
     }
 
-    /// Believes what was told of limits, where nothing speaks against it. What changed.
+    /// Applies pending reports of limits that no response has contradicted. Returns what changed.
     pub fn apply_pending_limits(&mut self, now: Millis) -> Vec<(String, Change)> {
         self.notices.apply_pending(now, &self.holders)
     }
 
-    /// The lives that name a limit.
+    /// The incarnations that announced a limit, with that limit.
     pub fn limits(&self) -> impl Iterator<Item = (TargetIncarnation<'_>, &Limit)> {
         self.notices.limits()
     }
 
-    /// The limit that a target names, if it does.
-    pub fn limit(&self, it: TargetIncarnation<'_>) -> Option<&Limit> {
-        self.notices.limited(it)
+    /// The limit that a target announced, if any.
+    pub fn limit(&self, incarnation: TargetIncarnation<'_>) -> Option<&Limit> {
+        self.notices.limited(incarnation)
     }
 
-    /// Whether this entry may send a target one more request now, by its limit.
+    /// Whether this entry may send a target one more request now, as far as its limit allows.
     pub(super) fn has_turn(&self, now: Millis, name: &str) -> bool {
         matches!(self.notices.next(now, self.incarnation(name)), None | Some(Turn::In(0)))
     }
 
-    /// Takes a request out of this entry's part of a target's limit. False if that has none.
+    /// Takes one request from this entry's share of a target's limit. Returns false if the share is
+    /// used up.
     pub fn spend(&mut self, now: Millis, name: &str) -> bool {
-        let life = self.incarnation(name);
-        matches!(self.notices.reserve(now, life, 0), None | Some(Turn::In(_)))
+        let incarnation = self.incarnation(name);
+        matches!(self.notices.reserve(now, incarnation, 0), None | Some(Turn::In(_)))
     }
 
-    /// Whether a request may be sent to a target, where it was chosen at `sent`: a limit may
-    /// have become known since.
-    pub fn admits(&mut self, now: Millis, it: TargetIncarnation<'_>, sent: Millis) -> bool {
-        let later = self.limit(it).is_some_and(|it| it.since() > sent);
-        self.accepts_work(now, it) && (!later || self.spend(now, it.name))
+    /// Whether a request may still be sent to a target for which it was assigned at `sent`. Takes
+    /// it from this entry's share if the target's limit became known since.
+    pub fn admits(
+        &mut self,
+        now: Millis,
+        incarnation: TargetIncarnation<'_>,
+        sent: Millis,
+    ) -> bool {
+        let later = self.limit(incarnation).is_some_and(|it| it.since() > sent);
+        self.accepts_work(now, incarnation) && (!later || self.spend(now, incarnation.name))
     }
 
-    /// The targets that could serve but for their limits; not among those tried while there
-    /// are others.
+    /// The targets that could serve a request now if they had no limits. Targets in `tried` are
+    /// excluded while there are others.
     pub fn limited_targets(&self, now: Millis, served: &Served, tried: &[String]) -> Vec<String> {
         let names = self.subsets.get(served).map(Vec::as_slice).unwrap_or_default();
         let limited = |it: &&String| self.is_available(now, it) && !self.has_turn(now, it);
@@ -114,35 +122,42 @@
         names.into_iter().cloned().collect()
     }
 
-    /// When this entry may send a target one more request, if it holds a part of its limit.
+    /// Milliseconds until this entry may send a target one more request; none if the target has no
+    /// limit, or this entry no share of it.
     pub fn next_turn(&self, now: Millis, name: &str) -> Option<Millis> {
         match self.notices.next(now, self.incarnation(name))? {
-            Turn::In(it) => Some(it),
+            Turn::In(wait) => Some(wait),
             Turn::TooLate(_) | Turn::Never => None,
         }
     }
 
-    /// Takes a request, to be sent within `most` milliseconds, out of this entry's part of
-    /// the limit of a target that may get work.
-    pub fn reserve(&mut self, now: Millis, it: TargetIncarnation<'_>, most: Millis) -> Turn {
-        if self.is_former_incarnation(it) || !self.is_available(now, it.name) {
+    /// Reserves one request, to be sent within `max_wait` milliseconds, from this entry's share of
+    /// a target's limit. Returns [`Turn::Never`] if the target may not get work.
+    pub fn reserve(
+        &mut self,
+        now: Millis,
+        incarnation: TargetIncarnation<'_>,
+        max_wait: Millis,
+    ) -> Turn {
+        if self.is_former_incarnation(incarnation) || !self.is_available(now, incarnation.name) {
             return Turn::Never;
         }
-        self.notices.reserve(now, it, most).unwrap_or(Turn::Never)
+        self.notices.reserve(now, incarnation, max_wait).unwrap_or(Turn::Never)
     }
 
-    /// The other entries that hold a target's limit.
+    /// Names of the other entries that hold a share of a target's limit.
     pub fn limit_holders(&self, name: &str) -> Vec<&str> {
-        let life = self.incarnation(name);
-        self.limit(life).map_or_else(Vec::new, |it| self.holders.other_holders(life, it.rate()))
+        let incarnation = self.incarnation(name);
+        self.limit(incarnation)
+            .map_or_else(Vec::new, |it| self.holders.other_holders(incarnation, it.rate()))
     }
 
-    /// Whether this entry is the one of all that does something.
+    /// Whether this entry, of all entries, owns `key`.
     pub fn owns(&self, key: &str) -> bool {
         self.holders.owns(key)
     }
 
-    /// Places of a target, as many as a limit lets through.
+    /// Number of slots of a target that its limit allows to fill, of the `capacity` that it has.
     pub(super) fn limited_capacity(&self, name: &str, capacity: f64) -> f64 {
         let limit = self.limit(self.incarnation(name));
         limit.map_or(capacity, |it| capacity.min(it.rate().per_second() * REQUEST_SECONDS))
