--- a/crates/sablepass-entry/src/targets/notices.rs
+++ b/crates/sablepass-entry/src/targets/notices.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What targets said of themselves to this entry, and what that leaves of a service.
+//! Notices that targets announce about themselves, a pause or that they leave, and the targets of a
+//! service that remain available.
 
 use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::membership::Source;
@@ -9,89 +10,111 @@
 use crate::targets::{Served, Targets};
 
 impl Targets {
-    /// The present life of a target.
+    /// The current incarnation of a target.
     pub(super) fn incarnation<'a>(&self, name: &'a str) -> TargetIncarnation<'a> {
         TargetIncarnation { name, started_at: self.started_at(name) }
     }
 
-    /// Records that a target wants nothing for so long. Whether it rests only since now.
-    pub fn record_pause(&mut self, now: Millis, it: TargetIncarnation<'_>, asked: Millis) -> bool {
-        let begins = !self.is_former_incarnation(it) && self.notices.pause(now, it, asked);
-        self.note_if_unlisted(now, it.name);
-        begins
+    /// Records that a target requests a pause of `duration` milliseconds. Returns whether a new
+    /// pause starts.
+    pub fn record_pause(
+        &mut self,
+        now: Millis,
+        incarnation: TargetIncarnation<'_>,
+        duration: Millis,
+    ) -> bool {
+        let starts = !self.is_former_incarnation(incarnation)
+            && self.notices.pause(now, incarnation, duration);
+        self.note_if_unlisted(now, incarnation.name);
+        starts
     }
 
-    /// Records that a target leaves. Whether that is new.
-    pub fn record_leaving(&mut self, now: Millis, it: TargetIncarnation<'_>) -> bool {
-        let begins = !self.is_former_incarnation(it) && self.notices.leave(now, it);
-        self.note_if_unlisted(now, it.name);
-        begins
+    /// Records that a target announced that it leaves. Returns whether that is new.
+    pub fn record_leaving(&mut self, now: Millis, incarnation: TargetIncarnation<'_>) -> bool {
+        let is_new =
+            !self.is_former_incarnation(incarnation) && self.notices.leave(now, incarnation);
+        self.note_if_unlisted(now, incarnation.name);
+        is_new
     }
 
-    /// Whether what another process tells of a target is kept.
-    pub fn keeps_notice(&self, it: TargetIncarnation<'_>) -> bool {
-        self.listed.contains_key(it.name) || self.notices.has_room(it.name)
+    /// Whether a notice that a peer sent about a target is kept: the list contains the target, or
+    /// there is room for further notices.
+    pub fn keeps_notice(&self, incarnation: TargetIncarnation<'_>) -> bool {
+        self.listed.contains_key(incarnation.name) || self.notices.has_room(incarnation.name)
     }
 
-    /// Whether a life of a target is over, and another one listed.
-    pub(super) fn is_former_incarnation(&self, it: TargetIncarnation<'_>) -> bool {
-        self.listed.get(it.name).is_some_and(|known| known.instance.born != it.started_at)
+    /// Whether the list contains another incarnation of a target.
+    pub(super) fn is_former_incarnation(&self, incarnation: TargetIncarnation<'_>) -> bool {
+        self.listed
+            .get(incarnation.name)
+            .is_some_and(|known| known.instance.born != incarnation.started_at)
     }
 
+    /// Starts the retention time of a target's notices if the list does not contain the target.
     pub(super) fn note_if_unlisted(&mut self, now: Millis, name: &str) {
         if !self.listed.contains_key(name) {
             self.notices.unlisted(now, name);
         }
     }
 
-    /// Whether a request may go to a target, by what that said of itself and by the list.
-    pub fn accepts_work(&self, now: Millis, it: TargetIncarnation<'_>) -> bool {
-        !self.has_left(now, it) && self.notices.paused_until(now, it).is_none()
+    /// Whether a request may be sent to a target, by its notices and the list.
+    pub fn accepts_work(&self, now: Millis, incarnation: TargetIncarnation<'_>) -> bool {
+        !self.has_left(now, incarnation) && self.notices.paused_until(now, incarnation).is_none()
     }
 
-    /// The lives of targets that said that they leave.
+    /// The incarnations that announced that they leave.
     pub fn leaving_incarnations(&self) -> impl Iterator<Item = TargetIncarnation<'_>> {
         self.notices.leaving()
     }
 
-    /// Whether a life of a target said that it leaves, or its line was removed.
-    pub fn has_left(&self, now: Millis, it: TargetIncarnation<'_>) -> bool {
-        self.notices.is_leaving(it) || self.is_gone(now, it.name)
+    /// Whether a target announced that it leaves, or its line was removed from the list.
+    pub fn has_left(&self, now: Millis, incarnation: TargetIncarnation<'_>) -> bool {
+        self.notices.is_leaving(incarnation) || self.is_gone(now, incarnation.name)
     }
 
-    /// Whether a target had asked for a rest, that goes on, before a request was sent there.
-    pub fn was_paused_before(&self, now: Millis, it: TargetIncarnation<'_>, sent: Millis) -> bool {
-        self.notices.paused_since(now, it).is_some_and(|since| sent > since)
+    /// Whether a pause that is still in force was requested before `sent`, when a request was sent
+    /// to the target.
+    pub fn was_paused_before(
+        &self,
+        now: Millis,
+        incarnation: TargetIncarnation<'_>,
+        sent: Millis,
+    ) -> bool {
+        self.notices.paused_since(now, incarnation).is_some_and(|since| sent > since)
     }
 
-    /// Whether a target was known to leave before a request was sent there.
-    pub fn was_leaving_before(&self, it: TargetIncarnation<'_>, sent: Millis) -> bool {
-        let gone = self.listed.get(it.name).and_then(|it| it.missing).map(|it| it.gone_at);
-        let since = self.notices.leaving_since(it).into_iter().chain(gone).min();
+    /// Whether a target was known to leave before `sent`, when a request was sent to it.
+    pub fn was_leaving_before(&self, incarnation: TargetIncarnation<'_>, sent: Millis) -> bool {
+        let gone_at =
+            self.listed.get(incarnation.name).and_then(|it| it.missing).map(|it| it.gone_at);
+        let since = self.notices.leaving_since(incarnation).into_iter().chain(gone_at).min();
         since.is_some_and(|since| sent > since)
     }
 
-    /// Targets that rest.
+    /// Number of paused targets.
     pub fn paused_count(&self, now: Millis) -> usize {
         self.notices.paused_count(now)
     }
 
-    /// Whether a target rests that is reached through its agent.
+    /// Whether a target that is reached through its agent is paused.
     fn is_paused_behind_agent(&self, now: Millis, name: &str) -> bool {
         let member = self.members.get(name);
         member.is_some_and(|it| it.source == Source::Heartbeats && now < it.backed_off_until)
     }
 
-    /// When the first target takes requests again, where all that could serve are left alone
-    /// and some of them asked for it.
+    /// When the first target of a service accepts requests again, if none is available now and at
+    /// least one of them requested a pause; none otherwise.
     pub fn pause_ends_at(&self, now: Millis, served: &Served) -> Option<Millis> {
         let names = self.subsets.get(served)?;
-        let rests = |it: &String| self.notices.paused_until(now, self.incarnation(it));
-        let asked = |it: &String| rests(it).is_some() || self.is_paused_behind_agent(now, it);
-        if !names.iter().any(asked) || names.iter().any(|it| self.is_available(now, it)) {
+        let paused_until = |it: &String| self.notices.paused_until(now, self.incarnation(it));
+        let is_paused =
+            |it: &String| paused_until(it).is_some() || self.is_paused_behind_agent(now, it);
+        if !names.iter().any(is_paused) || names.iter().any(|it| self.is_available(now, it)) {
             return None;
         }
-        let there = names.iter().filter(|it| !self.has_left(now, self.incarnation(it)));
-        there.filter_map(|it| Some(self.available_at(now, it)?.max(rests(it).unwrap_or(0)))).min()
+        let present = names.iter().filter(|it| !self.has_left(now, self.incarnation(it)));
+        present
+            .filter_map(|it| Some(self.available_at(now, it)?.max(paused_until(it).unwrap_or(0))))
+            .min()
     }
 }
