--- a/crates/sablepass-entry/src/targets/shares.rs
+++ b/crates/sablepass-entry/src/targets/shares.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What of a service falls to this entry: capacity and load, in all and by group.
+//! This entry's share of the capacity and load of a service, in total and by group.
 
 use std::collections::BTreeMap;
 
@@ -9,54 +9,55 @@
 
 use crate::targets::{Served, Targets};
 
-/// Capacity and load of a model that fall to this entry.
+/// Share of an entry in the capacity and load of a model or service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
-    /// Requests.
+    /// Requests that may run at once.
     pub capacity: f64,
-    /// Requests.
+    /// Requests that run or are queued.
     pub load: f64,
-    /// Targets that may get new work.
+    /// Number of targets counted, not divided among entries.
     pub targets: f64,
 }
 
 impl Targets {
-    /// Capacity and load of a model that fall to this entry: targets are
-    /// shared with the other entries that keep connections to them.
+    /// This entry's share of the targets of a model or service that may get work now. Targets are
+    /// shared with the other entries that use them.
     pub fn share(&self, now: Millis, served: &Served) -> Share {
         let mut sum = Share::default();
-        for it in self.shares_by_group(now, served).into_values() {
-            sum.capacity += it.capacity;
-            sum.load += it.load;
-            sum.targets += it.targets;
+        for share in self.shares_by_group(now, served).into_values() {
+            sum.capacity += share.capacity;
+            sum.load += share.load;
+            sum.targets += share.targets;
         }
         sum
     }
 
-    /// The same by group.
+    /// The same as [`Self::share`], by group id.
     pub(super) fn shares_by_group(&self, now: Millis, served: &Served) -> BTreeMap<u32, Share> {
         let mut shares: BTreeMap<u32, Share> = BTreeMap::new();
         let Some(subset) = self.subsets.get(served) else { return shares };
-        let sharing = self.entries_per_target(served);
-        let open = subset.iter().filter(|it| self.is_available(now, it)).collect();
-        for name in self.prefer_responsive(open) {
-            let (Some(it), Some(member)) = (self.candidate(now, name), self.members.get(name))
+        let entries = self.entries_per_target(served);
+        let available = subset.iter().filter(|it| self.is_available(now, it)).collect();
+        for name in self.prefer_responsive(available) {
+            let (Some(candidate), Some(member)) =
+                (self.candidate(now, name), self.members.get(name))
             else {
                 continue;
             };
             let share = shares.entry(member.report.group).or_default();
-            let places = self.limited_capacity(name, f64::from(it.capacity));
-            share.capacity += places / sharing;
-            share.load += member.share(sharing).min(places);
+            let capacity = self.limited_capacity(name, f64::from(candidate.capacity));
+            share.capacity += capacity / entries;
+            share.load += member.share(entries).min(capacity);
             share.targets += 1.0;
         }
         shares
     }
 
-    /// Entries that share a target of what serves.
+    /// Mean number of entries that share a target of a model or service.
     pub(super) fn entries_per_target(&self, served: &Served) -> f64 {
         let subset = self.subsets.get(served).map_or(0, Vec::len) as f64;
-        let declared = self.serving.get(served).map_or(1, Vec::len).max(1) as f64;
-        (self.sharers.count() as f64 * subset / declared).max(1.0)
+        let all = self.serving.get(served).map_or(1, Vec::len).max(1) as f64;
+        (self.sharers.count() as f64 * subset / all).max(1.0)
     }
 }
