--- a/crates/sablepass-entry/src/targets/watch.rs
+++ b/crates/sablepass-entry/src/targets/watch.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What entries learn from all agents together: how many entries there are, and
-//! which targets are better left alone.
+//! Evaluation of the reports of all agents together: the number of entries, and the targets that
+//! are unresponsive or stalled.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -12,57 +12,57 @@
 
 use crate::targets::Targets;
 
-/// Time between two looks at what all agents told: half of their heartbeat.
+/// Interval between two evaluations of the agents' reports: half of their heartbeat interval.
 const EVALUATION_INTERVAL: Millis = 100;
 
-/// How many listed targets there are.
+/// Numbers of listed targets by state, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// All of them.
+    /// All listed targets.
     pub listed: usize,
-    /// Agents that this entry is connected to.
+    /// Machines whose agent this entry is connected to.
     pub agents: usize,
-    /// Those whose agent reports.
+    /// Targets whose agent is connected and has sent a heartbeat.
     pub linked: usize,
-    /// Those that may get work.
+    /// Targets that may get work now.
     pub usable: usize,
-    /// Those that asked for a rest.
+    /// Targets that requested a pause.
     pub paused: usize,
-    /// Those that name a limit.
+    /// Targets that announced a limit.
     pub limited: usize,
 }
 
 impl Targets {
-    /// Says which other entries this one knows of by itself.
+    /// Sets the names of the other entries that this one knows from connections.
     pub fn set_peers(&mut self, others: Vec<String>) {
         self.connected_entries = others.len() + 1;
         self.holders.set_peers(others);
     }
 
-    /// Counts the entries anew, by connections to them and by the agents' word.
+    /// Updates the number of entries from connections to them, the instance list and the agents'
+    /// reports.
     pub fn count_entries(&mut self, now: Millis) {
-        let met = self.connected_entries.max(self.listed_entries);
-        self.sharers.watch(now, met, self.members.entries(now));
+        let known = self.connected_entries.max(self.listed_entries);
+        self.sharers.watch(now, known, self.members.entries(now));
         self.update_holders(now);
     }
 
-    /// Those that share targets and budgets.
+    /// The number of entries that share targets and retry budgets.
     pub fn sharers(&self) -> &Sharers {
         &self.sharers
     }
 
-    /// How many listed targets there were when last looked.
+    /// Numbers of listed targets at the last evaluation.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Counts the listed targets.
     fn count(&self, now: Millis) -> Counts {
         let member = |name: &&String| self.members.get(name);
-        let beside: BTreeSet<IpAddr> = self.listed_agents.values().copied().collect();
+        let machines: BTreeSet<IpAddr> = self.listed_agents.values().copied().collect();
         Counts {
             listed: self.listed.len(),
-            agents: beside.len(),
+            agents: machines.len(),
             linked: self.listed.keys().filter(|it| member(it).is_some_and(|it| it.linked)).count(),
             usable: self.listed.keys().filter(|it| self.is_available(now, it)).count(),
             paused: self.paused_count(now),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether it is time to look again at what all agents told.
+    /// Whether an evaluation of the agents' reports is due. Returns true once per interval.
     pub fn evaluation_due(&mut self, now: Millis) -> bool {
         let due = now >= self.evaluated_at + EVALUATION_INTERVAL;
         if due {
@@ -79,27 +79,28 @@
         due
     }
 
-    /// Looks again whose machine counts as asleep. Returns those that do since now.
+    /// Evaluates the agents' reports: finds unresponsive and stalled targets, and removes expired
+    /// notices and loads. Returns the targets that have become unresponsive.
     pub fn update_unresponsive(&mut self, now: Millis) -> Vec<String> {
-        let quiet = self.members.unresponsive(now);
-        let fresh = quiet.difference(&self.unresponsive).cloned().collect();
+        let unresponsive = self.members.unresponsive(now);
+        let fresh = unresponsive.difference(&self.unresponsive).cloned().collect();
         self.update_broken_groups(now);
         self.notices.sweep(now);
         self.members.expire_loads(now);
         self.counts = self.count(now);
-        self.avoided = self.members.stalled(now).chain(&quiet).cloned().collect();
-        self.unresponsive = quiet;
+        self.avoided = self.members.stalled(now).chain(&unresponsive).cloned().collect();
+        self.unresponsive = unresponsive;
         fresh
     }
 
-    /// Those of some targets that are not idle, unless all are.
+    /// Removes unresponsive targets and those with a stalled group, unless no other is left.
     pub(super) fn prefer_responsive<'a>(&self, names: Vec<&'a String>) -> Vec<&'a String> {
-        let awake: Vec<&String> =
+        let preferred: Vec<&String> =
             names.iter().copied().filter(|it| !self.avoided.contains(*it)).collect();
-        if awake.is_empty() { names } else { awake }
+        if preferred.is_empty() { names } else { preferred }
     }
 
-    /// Whether a target's machine counts as asleep.
+    /// Whether a target's machine counts as unresponsive.
     pub fn is_unresponsive(&self, name: &str) -> bool {
         self.unresponsive.contains(name)
     }
