--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -62,8 +62,10 @@
         );
         let label = self.open.get(&carried.request).map(|it| it.run.label.as_str());
         slog::info!(self.log, "target rejected a request"; "id" => label,
-            "target" => incarnation.name, "born" => incarnation.started_at, "attempt" => carried.attempt, "status" => status, "not_run" => meta.proof == Proof::NotRun,
-            "asked" => asked, "rest" => rest, "begins" => begins, "load" => ?meta.load);
+            "target" => incarnation.name, "born" => incarnation.started_at,
+            "attempt" => carried.attempt, "status" => status,
+            "not_run" => meta.proof == Proof::NotRun, "asked" => asked, "rest" => rest,
+            "begins" => begins, "load" => ?meta.load);
     }
 
     /// Processes the limit that a target announces with a response, or that it announces none, and
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -70,7 +70,8 @@
                 let line = self.targets.line_revision(target);
                 slog::info!(self.log, "{}", event; "target" => target, "line" => line.number,
                     "born" => self.targets.started_at(target), "era" => revision.era,
-                    "revision" => revision.number, "used_for" => self.targets.remaining_use(now, target));
+                    "revision" => revision.number,
+                    "used_for" => self.targets.remaining_use(now, target));
             }
         }
         for target in &changes.leaving {
--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -56,7 +56,8 @@
         let reason = if is_ready { Refusal::Crowded } else { Refusal::GroupClosed };
         let counts = self.targets.counts();
         slog::info!(self.log, "stream refused"; "id" => &open.run.label, "reason" => reason.label(),
-            "room" => ?room, "turn" => retry_after, "targets" => counts.listed, "usable" => counts.usable);
+            "room" => ?room, "turn" => retry_after, "targets" => counts.listed,
+            "usable" => counts.usable);
         let actions = open.flight.refuse(reason);
         self.act(cx, id, actions);
     }
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -332,7 +332,8 @@
         if self.watch.suspects.standing(now, fingerprint) == Standing::Suspect {
             let ended = self.watch.suspects.deaths_of(fingerprint).len();
             slog::warn!(self.log, "suspected request sent"; "id" => &open.run.label,
-                "fingerprint" => %fingerprint, "ended" => ended, "attempt" => open.flight.attempt().number);
+                "fingerprint" => %fingerprint, "ended" => ended,
+                "attempt" => open.flight.attempt().number);
         }
     }
 
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -20,7 +20,8 @@
     pub(crate) fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
         if let Some(suspended_ms) = self.sleep.look(now) {
-            slog::warn!(self.log, "process was suspended"; "for" => suspended_ms, "requests" => self.open.len());
+            slog::warn!(self.log, "process was suspended"; "for" => suspended_ms,
+                "requests" => self.open.len());
             self.metrics.sleeps.inc();
             self.targets.resumed(now);
         }
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -224,7 +224,8 @@
         let spread = self.rng.random_range(0..=interval);
         let Some(open) = self.open.get_mut(&id) else { return };
         slog::info!(self.log, "request refused: all targets at their limits";
-            "id" => &open.run.label, "limited" => limited.len(), "limits" => rate, "next" => next, "asked" => open.sought);
+            "id" => &open.run.label, "limited" => limited.len(), "limits" => rate,
+            "next" => next, "asked" => open.sought);
         open.comeback = Some(next.saturating_add(spread));
         let actions = open.flight.refuse(Refusal::TargetsLimited);
         self.act(cx, id, actions);
