--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -106,30 +106,33 @@
         let Some(incarnation) = self.pool.target(key) else { return };
         let (target, started_at) = (incarnation.name.to_owned(), incarnation.started_at);
         if meta.leaving
-            && self.target_leaves(
+            && self.target_leaving(
                 now,
                 TargetIncarnation { name: &target, started_at },
-                Source::Seen,
+                Source::Response,
             )
         {
-            self.tell_leaving(TargetIncarnation { name: &target, started_at });
+            self.send_leaving(TargetIncarnation { name: &target, started_at });
         }
-        self.check_wishes(now, in_flight, TargetIncarnation { name: &target, started_at });
+        self.check_notices_respected(
+            now, in_flight,
+            TargetIncarnation { name: &target, started_at },
+        );
         if let Some(load) = meta.load {
-            self.targets.told(now, &target, load.running + load.waiting);
+            self.targets.record_load(now, &target, load.running + load.waiting);
         }
         let status = head.status().as_u16();
         for field in answer::unread(head.headers()) {
             self.unread.note(&self.log, &self.metrics, &target, field);
         }
-        self.names_limit(
+        self.limit_announced(
             now,
             in_flight,
             TargetIncarnation { name: &target, started_at },
             meta.limit,
         );
         if meta.rest != Rest::None || meta.proof != Proof::None {
-            self.turned_away(
+            self.target_rejected(
                 now,
                 in_flight,
                 TargetIncarnation { name: &target, started_at },
@@ -142,11 +145,11 @@
         let unproven = matches!(status, 408 | 429 | 503);
         let event = match meta.proof {
             Proof::NotRun => {
-                self.targets.refused(now, &target, now + BACK_OFF_FULL);
+                self.targets.record_refusal(now, &target, now + BACK_OFF_FULL);
                 Event::Refused(Refusal::TargetFull)
             }
             Proof::Misdirected => {
-                self.targets.misdirected(&target, now + BACK_OFF_MISDIRECTED);
+                self.targets.record_misdirected(&target, now + BACK_OFF_MISDIRECTED);
                 Event::Refused(Refusal::Misdirected)
             }
             Proof::None if unproven => failed_unproven(Refusal::EngineBroke),
@@ -156,7 +159,7 @@
             Proof::None => {
                 match head.status() {
                     code if code.is_server_error() => self.record_failure(now, &target),
-                    code if code.is_success() => self.targets.sound(&target),
+                    code if code.is_success() => self.targets.record_success(&target),
                     _ => {}
                 }
                 let fields = answer::forward(head.headers());
@@ -207,7 +210,7 @@
 
     /// Records a failure of a target, which may back it off.
     fn record_failure(&mut self, now: Millis, target: &str) {
-        if let Some(back_off) = self.targets.failed(now, target) {
+        if let Some(back_off) = self.targets.record_failure(now, target) {
             slog::warn!(self.log, "target backed off"; "target" => target, "for" => back_off,
                 "why" => "several requests failed in a row");
         }
@@ -230,13 +233,13 @@
                 "fingerprint" => %open.fingerprint(), "cause" => %cause);
         }
         if sent && cause.is_end() {
-            self.broke_off(cx, in_flight.request, &target);
+            self.attempt_interrupted(cx, in_flight.request, &target);
         }
         let event = if sent {
             self.record_failure(clock::now(), &target);
             failed_unproven(Refusal::EngineBroke)
         } else {
-            self.targets.leave_alone(&target, clock::now() + BACK_OFF_REFUSED);
+            self.targets.back_off(&target, clock::now() + BACK_OFF_REFUSED);
             Event::Refused(Refusal::EngineAway)
         };
         self.handle_event(cx, in_flight.request, in_flight.attempt, event);
--- a/crates/sablepass-entry/src/open.rs
+++ b/crates/sablepass-entry/src/open.rs
@@ -18,7 +18,7 @@
 use crate::call::Run;
 use crate::pool::ConnectionKey;
 use crate::targets::Served;
-use crate::turns::Slot;
+use crate::turns::PendingTurn;
 
 /// Maximum time from the arrival of a request that it waits for its group to become ready. Callers
 /// disconnect after two seconds without data; the difference is left for processing the prompt.
@@ -45,7 +45,7 @@
     /// stream, its group or its turn.
     pub(crate) waiting_since: Option<Millis>,
     /// The turn under a target's limit that the request waits for.
-    pub(crate) slot: Option<Slot>,
+    pub(crate) slot: Option<PendingTurn>,
     /// Whether another entry was asked for a turn since the request was last sent.
     pub(crate) turn_requested: bool,
     /// The target whose load includes this request.
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -35,10 +35,10 @@
 use crate::openai;
 use crate::pool::{ConnectionKey, Destination, Pool};
 use crate::settings::Settings;
-use crate::suspects::Watch;
+use crate::suspects::SuspectTracker;
 use crate::targets::{self, Choice, Served, Targets, Via};
 use crate::trace::{Step, Traces};
-use crate::turns::Turns;
+use crate::turns::PeerTurns;
 
 /// Maximum time that a request waits for a connection to the target that owns its idempotency key.
 const OWNER_WAIT: Millis = 2_000;
@@ -74,9 +74,9 @@
     pub(crate) pool: Pool,
     pub(crate) traces: Traces,
     /// Requests suspected of terminating their targets.
-    pub(crate) watch: Watch,
+    pub(crate) watch: SuspectTracker,
     /// Next turns that other entries reported for targets with limits.
-    pub(crate) turns: Turns,
+    pub(crate) turns: PeerTurns,
     /// Header fields of answers that this program does not interpret.
     pub(crate) unread: Unread,
     pub(crate) rng: StdRng,
@@ -103,9 +103,9 @@
             me: settings.node.name.clone(),
             hall: settings.node.hall.clone(),
             subset: settings.subset,
-            lead: settings.stop_lead,
+            stop_lead: settings.stop_lead,
             silence: settings.silence,
-            stands: settings.stands,
+            group_stall: settings.stands,
             agent_port: settings.agent_port,
         };
         let policy = Policy::parse(&settings.policy).unwrap_or_default();
@@ -119,8 +119,8 @@
             start_queues: HashMap::new(),
             pool: Pool::open(fwd_to!([cx], direct_event() as ((ConnectionKey, client::Event)))),
             traces: Traces::open(settings.stories),
-            watch: Watch::default(),
-            turns: Turns::default(),
+            watch: SuspectTracker::default(),
+            turns: PeerTurns::default(),
             unread: Unread::default(),
             rng: StdRng::seed_from_u64(rand::random()),
             stopping_since: None,
@@ -142,7 +142,7 @@
     /// Sends a request to a target, unless it is refused as a suspect or its start is deferred.
     pub(crate) fn dispatch(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
-        if !self.holds_back(cx, now, id) && !self.defers(cx, now, id) {
+        if !self.refuse_if_blocked(cx, now, id) && !self.defer_start(cx, now, id) {
             self.place(cx, id);
         }
     }
@@ -150,7 +150,7 @@
     /// Chooses a target for a request and sends it there, without asking the start queue.
     pub(crate) fn place(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
-        if self.holds_back(cx, now, id) {
+        if self.refuse_if_blocked(cx, now, id) {
             return;
         }
         let Some(open) = self.requests.get_mut(&id) else {
@@ -164,15 +164,15 @@
         if let Some(name) = open.counted_target.take() {
             self.targets.ended(&name);
         }
-        let turn = open.slot.take().and_then(|it| it.given());
-        let reserved = turn.and_then(|it| self.targets.choose_given(now, it.life()));
+        let turn = open.slot.take().and_then(|it| it.granted());
+        let reserved = turn.and_then(|it| self.targets.choose_reserved(now, it.incarnation()));
         let choice = match &open.owner {
             _ if reserved.is_some() => reserved,
             Some(owner) => {
                 let choice = self.targets.choose_owner(now, owner);
                 let since = *open.waiting_since.get_or_insert(now);
                 if choice.is_none() && now < since + OWNER_WAIT && now < open.run.deadline {
-                    self.want(cx);
+                    self.update_wanted_peers(cx);
                     return;
                 }
                 choice
@@ -194,7 +194,7 @@
     /// time, and refuses it otherwise.
     fn handle_no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
         // Heartbeats may have arrived since the last tick.
-        self.targets.watch_groups(now);
+        self.targets.update_groups(now);
         let ready_soon = self.should_wait_for_group(now, id);
         if self.seek_turn(cx, now, id) {
             return;
@@ -202,7 +202,7 @@
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let paused_until = self.targets.rested(now, &open.served);
+        let paused_until = self.targets.pause_ends_at(now, &open.served);
         if open.head_sent && paused_until.unwrap_or(now) < open.delivered_at + RESUME_WAIT {
             open.waiting_since = Some(now);
             return;
@@ -218,7 +218,7 @@
                 "service" => &open.served.1, "after" => now.saturating_sub(open.run.arrived));
             return;
         }
-        let reason = match (&open.owner, self.targets.closed(now, &open.served)) {
+        let reason = match (&open.owner, self.targets.has_closed_group(now, &open.served)) {
             (Some(_), _) => Refusal::OwnerAway,
             (None, true) => Refusal::GroupClosed,
             (None, false) => Refusal::NoTarget,
@@ -237,7 +237,7 @@
             return false;
         }
         let waits_too = |it: &&OpenRequest| it.waiting_since.is_some() && it.served == open.served;
-        let max_waiting = self.targets.whole(&open.served).capacity * MAX_WAITING_FRACTION;
+        let max_waiting = self.targets.total_share(&open.served).capacity * MAX_WAITING_FRACTION;
         (self.requests.values().filter(waits_too).count() as f64) < max_waiting
     }
 
@@ -253,13 +253,13 @@
         open.sent_at = now;
         open.counted_target = Some(choice.name.clone());
         open.turn_requested = false;
-        if !choice.given && !self.targets.spend(now, &choice.name) {
+        if !choice.reserved && !self.targets.spend(now, &choice.name) {
             self.metrics.sent_over_limit.inc();
             slog::error!(self.log, "sent beyond this entry's part of a limit"; "id" => &open.run.label,
                 "target" => &choice.name);
         }
         if !self.watch.suspects.is_empty() {
-            self.note_suspect(now, id);
+            self.log_suspect(now, id);
         }
         let Some(open) = self.requests.get_mut(&id) else { return };
         self.targets.sent(&choice.name);
@@ -374,7 +374,7 @@
                 let queue = self.start_queues.entry(served).or_default();
                 queue.record_end(now.saturating_sub(started), first_byte_after_start);
                 self.traces.add(now, id, Step::Answered);
-                self.ran_whole(id);
+                self.request_completed(id);
             }
             Action::Fail(failure) => self.fail(now, id, failure),
             Action::CountRetry(reason) => {
@@ -391,7 +391,7 @@
     /// Sets the retry-after time of a request that fails while all of its possible targets are paused.
     fn set_retry_after(&mut self, now: Millis, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        if let Some(until) = self.targets.rested(now, &open.served) {
+        if let Some(until) = self.targets.pause_ends_at(now, &open.served) {
             let spread = self.rng.random_range(0..MAX_RETRY_AFTER_SPREAD);
             open.retry_after.get_or_insert((until - now).saturating_add(spread));
         }
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router by the clock: deadlines, silence, turns to begin, what is to be told.
+//! Periodic work of the router: deadlines, unresponsive agents and targets, waiting requests, and
+//! messages to other entries.
 
 use std::time::Duration;
 
@@ -12,77 +13,78 @@
 
 use crate::router::Router;
 
-/// Time between two looks at deadlines and silence.
-pub(crate) const TICK: Duration = Duration::from_millis(25);
+/// Interval of the router's periodic work.
+pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 impl Router {
     pub(crate) fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
-        if let Some(slept) = self.suspension_detector.look(now) {
-            slog::warn!(self.log, "slept"; "for" => slept, "requests" => self.requests.len());
+        if let Some(suspended_ms) = self.suspension_detector.look(now) {
+            slog::warn!(self.log, "process was suspended"; "for" => suspended_ms,
+                "requests" => self.requests.len());
             self.metrics.sleeps.inc();
-            self.targets.slept(now);
+            self.targets.resumed(now);
         }
-        for peer in self.targets.silent(now) {
+        for peer in self.targets.silent_agents(now) {
             call!([self.mesh], drop_peer(peer));
         }
-        self.targets.watch_groups(now);
-        if self.targets.looks(now) {
+        self.targets.update_groups(now);
+        if self.targets.evaluation_due(now) {
             self.count_entries();
-            for target in self.targets.watch_quiet(now) {
-                slog::warn!(self.log, "target quiet"; "target" => target);
+            for target in self.targets.update_unresponsive(now) {
+                slog::warn!(self.log, "target unresponsive"; "target" => target);
             }
-            self.settle_limits(now);
-            self.count_targets();
+            self.apply_pending_limits(now);
+            self.update_target_metrics();
         }
-        self.begin_waiting(cx);
-        self.tell_suspects();
+        self.start_waiting(cx);
+        self.send_suspects();
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
-            self.tick_one(cx, id);
+            self.tick_request(cx, id);
         }
         self.pool.close_expired(now);
-        let gone = self.targets.lapse_due(now);
-        self.forget(cx, &gone);
+        let gone = self.targets.remove_expired_if_missing(now);
+        self.remove_targets(cx, &gone);
         self.check_stop(cx, now);
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
     }
 
-    fn count_targets(&self) {
-        let it = self.targets.counts();
-        let counts = [
-            ("listed", it.listed),
-            ("agents", it.beside),
-            ("linked", it.linked),
-            ("usable", it.usable),
-            ("resting", it.resting),
-            ("limited", it.limited),
+    fn update_target_metrics(&self) {
+        let counts = self.targets.counts();
+        let values = [
+            ("listed", counts.listed),
+            ("agents", counts.agents),
+            ("linked", counts.linked),
+            ("usable", counts.usable),
+            ("resting", counts.paused),
+            ("limited", counts.limited),
         ];
-        for (state, count) in counts {
+        for (state, count) in values {
             self.metrics.targets.with_label_values(&[state]).set(count as i64);
         }
     }
 
-    fn tick_one(&mut self, cx: CX![], id: RequestId) {
+    fn tick_request(&mut self, cx: CX![], id: RequestId) {
         let Some(open) = self.requests.get(&id) else {
             return;
         };
         if open.slot.is_some() {
-            self.await_turn(cx, id);
+            self.check_turn(cx, id);
             return;
         }
         if open.waiting_since.is_some() {
-            // One that waits for its group has nowhere to go until that opens.
+            // A request that waits for its group has no target until the group is ready.
             let now = clock::now();
-            let waits = !open.head_sent && open.may_wait_for_group(now);
-            if !waits || !self.targets.opens_soon(now, &open.served) {
+            let waits_for_group = !open.head_sent && open.may_wait_for_group(now);
+            if !waits_for_group || !self.targets.opens_soon(now, &open.served) {
                 self.dispatch(cx, id);
             }
             return;
         }
         let now = clock::now();
-        let quiet = open.flight.target().is_some_and(|it| self.targets.is_quiet(it));
-        if quiet && open.flight.is_silent(now) {
+        let unresponsive = open.flight.target().is_some_and(|it| self.targets.is_unresponsive(it));
+        if unresponsive && open.flight.is_silent(now) {
             self.handle_event(cx, id, 0, Event::TargetUnresponsive);
         }
         let Some(open) = self.requests.get(&id) else {
