--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -33,7 +33,7 @@
 use crate::engine::{Ask, Engine, Heard};
 use crate::listeners::Listeners;
 use crate::memory::Memory;
-use crate::ranks::{Do, Ranks};
+use crate::ranks::{Action, Ranks};
 use crate::settings::Settings;
 
 /// Time between two looks at a group that is about to switch.
@@ -228,11 +228,11 @@
         call!([self.mesh], want(wanted));
     }
 
-    fn carry_out(&self, list: Vec<Do>) {
+    fn carry_out(&self, list: Vec<Action>) {
         for it in list {
             match it {
-                Do::Ask(ask) => call!([self.engine], ask(ask)),
-                Do::Send(peer, body) => call!([self.mesh], send(peer, body)),
+                Action::Call(ask) => call!([self.engine], ask(ask)),
+                Action::Send(peer, body) => call!([self.mesh], send(peer, body)),
             }
         }
     }
--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -49,9 +49,9 @@
 
 /// What is to be done.
 #[derive(Debug)]
-pub enum Do {
+pub enum Action {
     /// Call the replica.
-    Ask(Ask),
+    Call(Ask),
     /// Send to an agent.
     Send(PeerKey, Body),
 }
@@ -227,7 +227,7 @@
     }
 
     /// A connection to another agent came up.
-    pub fn up(&mut self, now: Millis, peer: PeerKey, hall: String) -> Vec<Do> {
+    pub fn up(&mut self, now: Millis, peer: PeerKey, hall: String) -> Vec<Action> {
         self.agents.insert(peer, hall);
         self.tell(now, peer).into_iter().collect()
     }
@@ -241,7 +241,7 @@
     // The own rank.
 
     /// Takes the replica's account of its group, and how many requests it runs.
-    pub fn report(&mut self, now: Millis, group: Option<Group>, running: u32) -> Vec<Do> {
+    pub fn report(&mut self, now: Millis, group: Option<Group>, running: u32) -> Vec<Action> {
         self.running += RUNNING_WEIGHT * (f64::from(running) - self.running);
         let Some(group) = group.filter(|_| self.bounds.is_some()) else {
             self.group = None;
@@ -275,7 +275,7 @@
             .as_ref()
             .is_none_or(|it| (it.epoch, it.version) != (reading.epoch, reading.version))
         {
-            list.push(Do::Ask(Ask::Lists));
+            list.push(Action::Call(Ask::Lists));
         }
         if !known {
             // Whoever passes something on has to know which rank is where.
@@ -330,7 +330,7 @@
     }
 
     /// Takes the end of a call to the replica.
-    pub fn heard(&mut self, now: Millis, ask: &Ask, heard: &Heard) -> Vec<Do> {
+    pub fn heard(&mut self, now: Millis, ask: &Ask, heard: &Heard) -> Vec<Action> {
         match (ask, heard) {
             (Ask::Order(_), it) => {
                 let done = match it {
@@ -343,11 +343,11 @@
                 if let Some(member) = &mut self.member {
                     member.on_done(done);
                 }
-                vec![Do::Ask(Ask::Report)]
+                vec![Action::Call(Ask::Report)]
             }
             (Ask::Prepare(_), it) => {
                 let mut list = self.prepared(it);
-                list.push(Do::Ask(Ask::Report));
+                list.push(Action::Call(Ask::Report));
                 list
             }
             (Ask::Counts, Ok(Answer { status: 200, body, .. })) => match engine::picked(body) {
@@ -357,7 +357,7 @@
             (Ask::Lists, Ok(Answer { status: 200, body, .. })) => match engine::lists(body) {
                 Ok(it) => {
                     self.lists = Some(it);
-                    let mut list: Vec<Do> = self.tell_planner(now).into_iter().collect();
+                    let mut list: Vec<Action> = self.tell_planner(now).into_iter().collect();
                     list.extend(self.consider(now));
                     list
                 }
@@ -367,12 +367,12 @@
         }
     }
 
-    fn not_decoded(&self, e: &sablepass_platform::Error) -> Vec<Do> {
+    fn not_decoded(&self, e: &sablepass_platform::Error) -> Vec<Action> {
         slog::warn!(self.log, "answer not decoded"; "error" => %e);
         Vec::new()
     }
 
-    fn picked(&mut self, now: Millis, it: Picked) -> Vec<Do> {
+    fn picked(&mut self, now: Millis, it: Picked) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         if it.epoch != group.reading.epoch {
             return Vec::new();
@@ -394,7 +394,7 @@
             true => self.tally(now, false),
             false => self.chosen(now, &chosen),
         };
-        tally.map(|it| Do::Send(planner, Body::Tally(it))).into_iter().collect()
+        tally.map(|it| Action::Send(planner, Body::Tally(it))).into_iter().collect()
     }
 
     // Other ranks.
@@ -404,7 +404,7 @@
     }
 
     /// Takes a message of another agent. None if it is not for groups.
-    pub fn message(&mut self, now: Millis, peer: PeerKey, body: Body) -> Option<Vec<Do>> {
+    pub fn message(&mut self, now: Millis, peer: PeerKey, body: Body) -> Option<Vec<Action>> {
         match body {
             Body::Tally(it) => Some(self.on_tally(now, peer, it)),
             Body::Proposal(it) => Some(self.on_proposal(peer, &it)),
@@ -421,7 +421,7 @@
     // Time and plans.
 
     /// Asks for missing votes, and plans beside rank 0.
-    pub fn tick(&mut self, now: Millis) -> Vec<Do> {
+    pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         let Some(member) = &mut self.member else { return Vec::new() };
         let outputs = member.tick();
         let mut list = self.carry_out(outputs);
--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -15,7 +15,7 @@
 
 use crate::engine::{Ask, Heard};
 use crate::ranks::votes::done;
-use crate::ranks::{Do, Ranks, Wanted};
+use crate::ranks::{Action, Ranks, Wanted};
 
 /// How often the order to prepare a map is given again when it goes unanswered.
 const PREPARES: u32 = 4;
@@ -28,7 +28,7 @@
 impl Ranks {
     /// Takes a proposed map, passes it on to the ranks below and prepares it. What
     /// differs from a map that is not known here is asked for as a whole.
-    pub(super) fn on_proposal(&mut self, peer: PeerKey, it: &wire::Proposal) -> Vec<Do> {
+    pub(super) fn on_proposal(&mut self, peer: PeerKey, it: &wire::Proposal) -> Vec<Action> {
         let Some(shape) = self.map_shape().filter(|_| self.is_mine(&it.group, it.epoch)) else {
             return Vec::new();
         };
@@ -44,7 +44,7 @@
                     "base" => it.base);
                 let pull =
                     wire::MapPull { group: it.group.clone(), epoch: it.epoch, version: it.version };
-                vec![Do::Send(peer, Body::MapPull(pull))]
+                vec![Action::Send(peer, Body::MapPull(pull))]
             }
             Err(e) => {
                 slog::warn!(self.log, "proposed map does not fit"; "error" => %e);
@@ -64,7 +64,7 @@
 
     /// Sends the map that is being prepared here to a rank that lacks the one it
     /// differs from.
-    pub(super) fn on_pull(&self, peer: PeerKey, it: &wire::MapPull) -> Vec<Do> {
+    pub(super) fn on_pull(&self, peer: PeerKey, it: &wire::MapPull) -> Vec<Action> {
         let wanted = self.wanted.as_ref().filter(|wanted| wanted.version == it.version);
         let Some(wanted) = wanted.filter(|_| self.is_mine(&it.group, it.epoch)) else {
             return Vec::new();
@@ -78,15 +78,15 @@
             changes: Vec::new(),
             digest: wanted.map.digest(),
         };
-        vec![Do::Send(peer, Body::Proposal(whole))]
+        vec![Action::Send(peer, Body::Proposal(whole))]
     }
 
     /// Passes a proposed map on to the ranks below this one.
-    pub(super) fn pass_on(&self, it: &wire::Proposal) -> Vec<Do> {
+    pub(super) fn pass_on(&self, it: &wire::Proposal) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         let below = Tree::open(group.size).children(group.rank);
         let peers = below.filter_map(|rank| self.ranks.get(&rank)).map(|it| it.peer);
-        peers.map(|peer| Do::Send(peer, Body::Proposal(it.clone()))).collect()
+        peers.map(|peer| Action::Send(peer, Body::Proposal(it.clone()))).collect()
     }
 
     /// Remembers the map that came into force, if it was prepared here.
@@ -141,7 +141,7 @@
         })
     }
 
-    pub(super) fn prepare(&mut self, version: u64, map: Map) -> Vec<Do> {
+    pub(super) fn prepare(&mut self, version: u64, map: Map) -> Vec<Action> {
         let (Some(group), Some(member)) = (&self.group, &mut self.member) else {
             return Vec::new();
         };
@@ -154,7 +154,7 @@
         self.order_prepare()
     }
 
-    fn order_prepare(&mut self) -> Vec<Do> {
+    fn order_prepare(&mut self) -> Vec<Action> {
         let (Some(group), Some(member), Some(wanted)) =
             (&self.group, &mut self.member, &mut self.wanted)
         else {
@@ -169,10 +169,10 @@
         slog::info!(self.log, "map to be prepared"; "version" => version, "epoch" => epoch,
             "step" => group.reading.step, "fence" => fence, "orders" => wanted.orders);
         let body = engine::prepare(version, &by_rank(&wanted.map), epoch, fence);
-        vec![Do::Ask(Ask::Prepare(body))]
+        vec![Action::Call(Ask::Prepare(body))]
     }
 
-    pub(super) fn prepared(&mut self, heard: &Heard) -> Vec<Do> {
+    pub(super) fn prepared(&mut self, heard: &Heard) -> Vec<Action> {
         let done = match heard {
             Ok(it) => done(it.status),
             Err(_) => Done::Unknown,
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -12,7 +12,7 @@
 use sablepass_edge::clock;
 use sablepass_wire::generated as wire;
 
-use crate::ranks::{Do, Proposed, Rank, Ranks};
+use crate::ranks::{Action, Proposed, Rank, Ranks};
 
 /// Age of a rank's counts beyond which the planner does not plan: two and a
 /// half of the intervals at which they are told.
@@ -113,7 +113,7 @@
 impl Ranks {
     /// Takes the counts of an interval, and says what is to be done for a
     /// better map.
-    pub(super) fn plan(&mut self, now: Millis) -> Vec<Do> {
+    pub(super) fn plan(&mut self, now: Millis) -> Vec<Action> {
         let interval = self.demand.as_ref().and_then(|it| it.recent(1, 0));
         let shifted = interval.is_some_and(|it| self.watch.observe(now, it));
         if shifted {
@@ -136,7 +136,7 @@
     }
 
     /// Proposes a better map, if there is one and nothing keeps it from that.
-    pub(super) fn consider(&mut self, now: Millis) -> Vec<Do> {
+    pub(super) fn consider(&mut self, now: Millis) -> Vec<Action> {
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0 && it.open);
         if !planner || self.proposed.is_some() {
             return Vec::new();
@@ -308,7 +308,7 @@
         Paces::new((0..size).map(|rank| if rank == 0 { mine } else { other(rank) }))
     }
 
-    fn propose(&mut self, now: Millis, change: &rebalance::Change, cause: Cause) -> Vec<Do> {
+    fn propose(&mut self, now: Millis, change: &rebalance::Change, cause: Cause) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         let version = self.highest.max(group.reading.version) + 1;
         slog::info!(self.log, "map proposed"; "version" => version, "epoch" => group.reading.epoch,
@@ -336,7 +336,7 @@
     }
 
     /// Proposes the switch once all ranks have prepared the map.
-    pub(super) fn try_switch(&mut self, now: Millis) -> Vec<Do> {
+    pub(super) fn try_switch(&mut self, now: Millis) -> Vec<Action> {
         let (Some(group), Some(member), Some(it)) =
             (&self.group, &mut self.member, &mut self.proposed)
         else {
--- a/crates/sablepass-agent/src/ranks/tally.rs
+++ b/crates/sablepass-agent/src/ranks/tally.rs
@@ -13,7 +13,7 @@
 use sablepass_wire::generated::frame::Body;
 
 use crate::ranks::planner::UNANSWERED;
-use crate::ranks::{Do, Rank, Ranks, Sampled};
+use crate::ranks::{Action, Rank, Ranks, Sampled};
 
 /// Thousandths, as paces are told on the wire.
 const PACE_UNIT: f64 = 1_000.0;
@@ -98,21 +98,21 @@
         Ok(Some(counts.concat()))
     }
 
-    pub(super) fn tell(&self, now: Millis, peer: PeerKey) -> Option<Do> {
+    pub(super) fn tell(&self, now: Millis, peer: PeerKey) -> Option<Action> {
         let tally = self.tally(now, false)?;
         Some(self.tell_one(&tally, &self.asked(), peer))
     }
 
-    pub(super) fn tell_all(&self, now: Millis) -> Vec<Do> {
+    pub(super) fn tell_all(&self, now: Millis) -> Vec<Action> {
         let Some(tally) = self.tally(now, false) else { return Vec::new() };
         let asked = self.asked();
         self.agents.keys().map(|peer| self.tell_one(&tally, &asked, *peer)).collect()
     }
 
-    fn tell_one(&self, tally: &wire::Tally, asked: &[PeerKey], peer: PeerKey) -> Do {
+    fn tell_one(&self, tally: &wire::Tally, asked: &[PeerKey], peer: PeerKey) -> Action {
         let samples = asked.contains(&peer);
         let draws = self.report_plan().draws.filter(|_| samples).unwrap_or(0);
-        Do::Send(peer, Body::Tally(wire::Tally { samples, draws, ..tally.clone() }))
+        Action::Send(peer, Body::Tally(wire::Tally { samples, draws, ..tally.clone() }))
     }
 
     /// The agents that the planner asks for counts; none if it is not here.
@@ -125,7 +125,7 @@
         self.ranks.iter().filter(|it| asked(*it.0)).map(|it| it.1.peer).collect()
     }
 
-    pub(super) fn on_tally(&mut self, now: Millis, peer: PeerKey, it: wire::Tally) -> Vec<Do> {
+    pub(super) fn on_tally(&mut self, now: Millis, peer: PeerKey, it: wire::Tally) -> Vec<Action> {
         self.highest = self.highest.max(it.highest).max(it.version).max(it.prepared);
         if self.group.as_ref().is_none_or(|mine| mine.name != it.group) {
             return Vec::new();
@@ -188,9 +188,9 @@
 
     /// Tells the planner how the own rank stands and what it holds. Nobody else
     /// needs to know more than which rank is where.
-    pub(super) fn tell_planner(&self, now: Millis) -> Option<Do> {
+    pub(super) fn tell_planner(&self, now: Millis) -> Option<Action> {
         let planner = self.ranks.get(&0)?.peer;
-        Some(Do::Send(planner, Body::Tally(self.tally(now, true)?)))
+        Some(Action::Send(planner, Body::Tally(self.tally(now, true)?)))
     }
 }
 
--- a/crates/sablepass-agent/src/ranks/votes.rs
+++ b/crates/sablepass-agent/src/ranks/votes.rs
@@ -13,22 +13,22 @@
 use snafu::{OptionExt, Snafu};
 
 use crate::engine::Ask;
-use crate::ranks::{Do, Ranks};
+use crate::ranks::{Action, Ranks};
 
 impl Ranks {
-    pub(super) fn carry_out(&mut self, outputs: Vec<Output>) -> Vec<Do> {
+    pub(super) fn carry_out(&mut self, outputs: Vec<Output>) -> Vec<Action> {
         let mut list = Vec::new();
         for output in outputs {
             match output {
                 Output::Send(to, epoch, message) => {
                     if let Some(rank) = self.ranks.get(&to) {
-                        list.push(Do::Send(rank.peer, self.barrier(epoch, message)));
+                        list.push(Action::Send(rank.peer, self.barrier(epoch, message)));
                     }
                 }
                 Output::Order { order, epoch, fence } => {
                     slog::info!(self.log, "order"; "order" => ?order, "epoch" => epoch,
                         "fence" => fence, "step" => self.group.as_ref().map(|it| it.reading.step));
-                    list.push(Do::Ask(Ask::Order(engine::order(order, epoch, fence))));
+                    list.push(Action::Call(Ask::Order(engine::order(order, epoch, fence))));
                 }
             }
         }
@@ -55,7 +55,7 @@
 
     /// Takes a message of the switch. One that this group cannot have is
     /// counted, and changes nothing.
-    pub(super) fn on_barrier(&mut self, it: &wire::Barrier) -> Vec<Do> {
+    pub(super) fn on_barrier(&mut self, it: &wire::Barrier) -> Vec<Action> {
         let Some(group) = self.group.as_ref().filter(|_| self.is_mine(&it.group, it.epoch)) else {
             return Vec::new();
         };
