--- a/crates/sablepass-agent/src/engine.rs
+++ b/crates/sablepass-agent/src/engine.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sablepass_edge::caller::{self, Answer, Call, Caller};
+use sablepass_edge::caller::{self, Answer, Call as HttpCall, Caller};
 use sablepass_platform::engine;
 use stakker::{ActorOwn, CX, Fwd, actor_new, call, fwd_to, ret_nop};
 
@@ -24,7 +24,7 @@
 
 /// A call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Call {
     /// Its account of itself.
     Report,
     /// The counts of chosen experts.
@@ -37,46 +37,46 @@
     Prepare(Vec<u8>),
 }
 
-impl Ask {
+impl Call {
     fn is_order(&self) -> bool {
         matches!(self, Self::Order(_) | Self::Prepare(_))
     }
 
-    fn call(&self) -> Call {
+    fn call(&self) -> HttpCall {
         match self {
-            Self::Report => Call::get(engine::REPORT_PATH, CALL_TIME),
-            Self::Counts => Call::get(engine::PICKED_PATH, CALL_TIME),
-            Self::Lists => Call::get(engine::LISTS_PATH, CALL_TIME),
+            Self::Report => HttpCall::get(engine::REPORT_PATH, CALL_TIME),
+            Self::Counts => HttpCall::get(engine::PICKED_PATH, CALL_TIME),
+            Self::Lists => HttpCall::get(engine::LISTS_PATH, CALL_TIME),
             Self::Order(body) | Self::Prepare(body) => {
-                Call::post(engine::ORDER_PATH, body.clone(), ORDER_TIME)
+                HttpCall::post(engine::ORDER_PATH, body.clone(), ORDER_TIME)
             }
         }
     }
 }
 
 /// How a call ended. Without an answer, nobody knows whether an order was taken.
-pub type Heard = Result<Answer, caller::Error>;
+pub type CallResult = Result<Answer, caller::Error>;
 
 /// The actor.
 pub struct Engine {
-    owner: Fwd<(Ask, Heard)>,
+    owner: Fwd<(Call, CallResult)>,
     caller: ActorOwn<Caller>,
-    waiting: VecDeque<Ask>,
-    current: Option<Ask>,
+    waiting: VecDeque<Call>,
+    current: Option<Call>,
 }
 
 impl Engine {
     /// Opens without a connection.
-    pub fn init(cx: CX![], target: SocketAddr, owner: Fwd<(Ask, Heard)>) -> Option<Self> {
+    pub fn init(cx: CX![], target: SocketAddr, owner: Fwd<(Call, CallResult)>) -> Option<Self> {
         let caller = actor_new!(cx, Caller, ret_nop!());
-        let answers = fwd_to!([cx], heard() as (Heard));
+        let answers = fwd_to!([cx], heard() as (CallResult));
         call!([caller], Caller::init(target, ANSWER_LIMIT, answers));
         Some(Self { owner, caller, waiting: VecDeque::new(), current: None })
     }
 
     /// Makes a call after those before it. A reading that already waits is
     /// not made twice.
-    pub fn ask(&mut self, _cx: CX![], it: Ask) {
+    pub fn ask(&mut self, _cx: CX![], it: Call) {
         let skip = self.waiting.contains(&it) || self.waiting.len() >= QUEUE;
         if skip && !it.is_order() {
             return;
@@ -94,7 +94,7 @@
         self.current = Some(ask);
     }
 
-    fn heard(&mut self, _cx: CX![], heard: Heard) {
+    fn heard(&mut self, _cx: CX![], heard: CallResult) {
         if let Some(ask) = self.current.take() {
             self.owner.fwd((ask, heard));
         }
--- a/crates/sablepass-agent/src/main.rs
+++ b/crates/sablepass-agent/src/main.rs
@@ -34,7 +34,7 @@
 use stakker::sync::Channel;
 use stakker::{actor_new, call, fwd_to, ret_shutdown};
 
-use crate::engine::{Ask, Engine, Heard};
+use crate::engine::{Call, CallResult, Engine};
 use crate::keeper::Keeper;
 use crate::observer::Observer;
 
@@ -62,7 +62,7 @@
         println!("{}", serde_json::json!({ "peers": peers, "admin": admin }));
         slog::info!(log, "started"; "target" => %target, "peers" => %peers, "admin" => %admin);
         let engine = actor_new!(s, Engine, ret_shutdown!(s));
-        let heard = fwd_to!([actor], heard() as ((Ask, Heard)));
+        let heard = fwd_to!([actor], heard() as ((Call, CallResult)));
         call!([engine], Engine::init(target, heard));
         call!([actor], Observer::init(settings, target, log, metrics, mesh, engine));
         Ok((actor, signals, operators))
--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -30,7 +30,7 @@
 use slog::Logger;
 use stakker::{ActorOwn, CX, after, call, ret_some_do};
 
-use crate::engine::{Ask, Engine, Heard};
+use crate::engine::{Call, CallResult, Engine};
 use crate::listeners::Listeners;
 use crate::memory::Memory;
 use crate::ranks::{Action, Ranks};
@@ -249,11 +249,11 @@
         let active = self.ranks.is_active();
         let due = now >= self.told + self.settings.heartbeat;
         if due || self.ranks.is_busy() || (active && count) {
-            call!([self.engine], ask(Ask::Report));
+            call!([self.engine], ask(Call::Report));
         }
         if active && count && self.reading.is_some() {
             if self.ranks.wants_counts() {
-                call!([self.engine], ask(Ask::Counts));
+                call!([self.engine], ask(Call::Counts));
             }
             let list = self.ranks.tick(now);
             self.carry_out(list);
@@ -268,22 +268,22 @@
         slog::warn!(self.log, "slept"; "for" => slept);
         self.metrics.sleeps.inc();
         self.reading = None;
-        call!([self.engine], ask(Ask::Report));
+        call!([self.engine], ask(Call::Report));
     }
 
     /// Takes the end of a call to the target.
-    pub fn heard(&mut self, _cx: CX![], (ask, heard): (Ask, Heard)) {
+    pub fn heard(&mut self, _cx: CX![], (ask, heard): (Call, CallResult)) {
         let now = clock::now();
         if let Ok(it) = &heard {
             self.names_limit(answer::limit(&it.fields));
         }
         match (&ask, &heard) {
-            (Ask::Report, Ok(Answer { status: 200, body, .. })) => match engine::report(body) {
+            (Call::Report, Ok(Answer { status: 200, body, .. })) => match engine::report(body) {
                 Ok(it) => self.report(now, it),
                 Err(e) => self.lost(now, &e.to_string(), false),
             },
-            (Ask::Report, Ok(it)) => self.lost(now, &format!("status {}", it.status), false),
-            (Ask::Report, Err(e)) => self.lost(now, &e.to_string(), e.is_refused()),
+            (Call::Report, Ok(it)) => self.lost(now, &format!("status {}", it.status), false),
+            (Call::Report, Err(e)) => self.lost(now, &e.to_string(), e.is_refused()),
             _ => {
                 let list = self.ranks.heard(now, &ask, &heard);
                 self.carry_out(list);
--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -28,7 +28,7 @@
 use sablepass_wire::generated::frame::Body;
 use slog::Logger;
 
-use crate::engine::{Ask, Heard};
+use crate::engine::{Call, CallResult};
 use crate::ranks::maps::Base;
 use crate::ranks::planner::Obstacle;
 use crate::ranks::votes::done;
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub enum Action {
     /// Call the replica.
-    Call(Ask),
+    Call(Call),
     /// Send to an agent.
     Send(PeerKey, Body),
 }
@@ -275,7 +275,7 @@
             .as_ref()
             .is_none_or(|it| (it.epoch, it.version) != (reading.epoch, reading.version))
         {
-            list.push(Action::Call(Ask::Lists));
+            list.push(Action::Call(Call::Lists));
         }
         if !known {
             // Whoever passes something on has to know which rank is where.
@@ -330,9 +330,9 @@
     }
 
     /// Takes the end of a call to the replica.
-    pub fn heard(&mut self, now: Millis, ask: &Ask, heard: &Heard) -> Vec<Action> {
+    pub fn heard(&mut self, now: Millis, ask: &Call, heard: &CallResult) -> Vec<Action> {
         match (ask, heard) {
-            (Ask::Order(_), it) => {
+            (Call::Order(_), it) => {
                 let done = match it {
                     Ok(it) => done(it.status),
                     Err(_) => {
@@ -343,18 +343,18 @@
                 if let Some(member) = &mut self.member {
                     member.on_done(done);
                 }
-                vec![Action::Call(Ask::Report)]
+                vec![Action::Call(Call::Report)]
             }
-            (Ask::Prepare(_), it) => {
+            (Call::Prepare(_), it) => {
                 let mut list = self.prepared(it);
-                list.push(Action::Call(Ask::Report));
+                list.push(Action::Call(Call::Report));
                 list
             }
-            (Ask::Counts, Ok(Answer { status: 200, body, .. })) => match engine::picked(body) {
+            (Call::Counts, Ok(Answer { status: 200, body, .. })) => match engine::picked(body) {
                 Ok(it) => self.picked(now, it),
                 Err(e) => self.not_decoded(&e),
             },
-            (Ask::Lists, Ok(Answer { status: 200, body, .. })) => match engine::lists(body) {
+            (Call::Lists, Ok(Answer { status: 200, body, .. })) => match engine::lists(body) {
                 Ok(it) => {
                     self.lists = Some(it);
                     let mut list: Vec<Action> = self.tell_planner(now).into_iter().collect();
--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -13,7 +13,7 @@
 use sablepass_wire::generated as wire;
 use sablepass_wire::generated::frame::Body;
 
-use crate::engine::{Ask, Heard};
+use crate::engine::{Call, CallResult};
 use crate::ranks::votes::done;
 use crate::ranks::{Action, Ranks, Wanted};
 
@@ -169,10 +169,10 @@
         slog::info!(self.log, "map to be prepared"; "version" => version, "epoch" => epoch,
             "step" => group.reading.step, "fence" => fence, "orders" => wanted.orders);
         let body = engine::prepare(version, &by_rank(&wanted.map), epoch, fence);
-        vec![Action::Call(Ask::Prepare(body))]
+        vec![Action::Call(Call::Prepare(body))]
     }
 
-    pub(super) fn prepared(&mut self, heard: &Heard) -> Vec<Action> {
+    pub(super) fn prepared(&mut self, heard: &CallResult) -> Vec<Action> {
         let done = match heard {
             Ok(it) => done(it.status),
             Err(_) => Done::Unknown,
--- a/crates/sablepass-agent/src/ranks/votes.rs
+++ b/crates/sablepass-agent/src/ranks/votes.rs
@@ -12,7 +12,7 @@
 use sablepass_wire::generated::frame::Body;
 use snafu::{OptionExt, Snafu};
 
-use crate::engine::Ask;
+use crate::engine::Call;
 use crate::ranks::{Action, Ranks};
 
 impl Ranks {
@@ -28,7 +28,7 @@
                 Output::Order { order, epoch, fence } => {
                     slog::info!(self.log, "order"; "order" => ?order, "epoch" => epoch,
                         "fence" => fence, "step" => self.group.as_ref().map(|it| it.reading.step));
-                    list.push(Action::Call(Ask::Order(engine::order(order, epoch, fence))));
+                    list.push(Action::Call(Call::Order(engine::order(order, epoch, fence))));
                 }
             }
         }
