--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -27,7 +27,7 @@
 use serde_json::json;
 use slog::Logger;
 
-use crate::orders::{Command, Heard, Orders};
+use crate::orders::{Command, EngineEvent, Orders};
 
 /// Time between two decisions of the planner.
 const PLAN_EVERY: Millis = 2_000;
@@ -283,15 +283,15 @@
     }
 
     /// Takes what the engine said.
-    pub fn heard(&mut self, now: Millis, heard: Heard) -> Vec<Send> {
+    pub fn heard(&mut self, now: Millis, heard: EngineEvent) -> Vec<Send> {
         match heard {
-            Heard::Register(it) => self.register(now, it, false),
-            Heard::Done(it) => {
+            EngineEvent::Register(it) => self.register(now, it, false),
+            EngineEvent::Done(it) => {
                 self.pending = self.pending.saturating_sub(1);
                 let done = self.pending == 0;
                 self.register(now, it, done)
             }
-            Heard::Counts(step, tokens) => {
+            EngineEvent::Counts(step, tokens) => {
                 let fits = tokens.len() == self.fixed.shape.layers
                     && tokens.iter().all(|it| it.len() == self.fixed.shape.experts);
                 if fits {
@@ -301,7 +301,7 @@
                 }
                 Vec::new()
             }
-            Heard::Map(bytes) => {
+            EngineEvent::Map(bytes) => {
                 match Map::parse(self.fixed.shape, &bytes) {
                     Ok(map) => self.map = Some(map),
                     Err(e) => {
--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -28,7 +28,7 @@
 use crate::listeners::Listeners;
 use crate::memory::Memory;
 use crate::notices::Notices;
-use crate::orders::Heard;
+use crate::orders::EngineEvent;
 use crate::run::{Content, Job, Part};
 use crate::settings::Settings;
 use crate::target::{Load, Target};
@@ -61,7 +61,7 @@
     /// Where runs send their parts.
     pub parts: Channel<Part>,
     /// Where the engine's answers to orders go.
-    pub engine: Channel<Heard>,
+    pub engine: Channel<EngineEvent>,
 }
 
 /// The actor.
@@ -72,7 +72,7 @@
     pub(crate) mesh: ActorOwn<Mesh>,
     pub(crate) target: Target,
     pub(crate) parts: Channel<Part>,
-    pub(crate) engine: Channel<Heard>,
+    pub(crate) engine: Channel<EngineEvent>,
     /// Orders of this agent carry it; it grows from agent to agent.
     pub(crate) fence: Millis,
     pub(crate) group: Option<Group>,
--- a/crates/sablepass-agent/src/main.rs
+++ b/crates/sablepass-agent/src/main.rs
@@ -77,7 +77,8 @@
         let (parts, parts_guard) = Channel::new(s, fwd_to!([actor], part() as (run::Part)));
         let (loads, loads_guard) = Channel::new(s, fwd_to!([actor], load() as (target::Load)));
         let queries = fwd_to!([actor], query() as (admin::Query));
-        let (engine, engine_guard) = Channel::new(s, fwd_to!([actor], engine() as (orders::Heard)));
+        let (engine, engine_guard) =
+            Channel::new(s, fwd_to!([actor], engine() as (orders::EngineEvent)));
         let signals = runtime::signals(s, fwd_to!([actor], signal() as (runtime::Signal)))?;
         let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peers);
         let me = base.me.incarnation;
--- a/crates/sablepass-agent/src/member.rs
+++ b/crates/sablepass-agent/src/member.rs
@@ -14,7 +14,7 @@
 
 use crate::group::{self, Group};
 use crate::keeper::Keeper;
-use crate::orders::{Heard, Orders};
+use crate::orders::{EngineEvent, Orders};
 
 impl Keeper {
     pub(crate) fn declare_group(&mut self, it: &Catalogue) {
@@ -67,7 +67,7 @@
     }
 
     /// Takes what the engine said about the group.
-    pub fn engine(&mut self, _cx: CX![], it: Heard) {
+    pub fn engine(&mut self, _cx: CX![], it: EngineEvent) {
         let Some(group) = &mut self.group else { return };
         let sends = group.heard(clock::now(), it);
         self.send_all(sends);
--- a/crates/sablepass-agent/src/orders.rs
+++ b/crates/sablepass-agent/src/orders.rs
@@ -36,7 +36,7 @@
 
 /// What the engine said.
 #[derive(Debug)]
-pub enum Heard {
+pub enum EngineEvent {
     /// Its register, at any time.
     Register(Register),
     /// Its register, after an order.
@@ -64,12 +64,12 @@
     agent: ureq::Agent,
     base: String,
     fence: u64,
-    to: Channel<Heard>,
+    to: Channel<EngineEvent>,
 }
 
 impl Orders {
     /// Starts the threads. Orders carry `fence`, which grows from agent to agent.
-    pub fn spawn(base: &str, fence: u64, to: Channel<Heard>) -> Self {
+    pub fn spawn(base: &str, fence: u64, to: Channel<EngineEvent>) -> Self {
         let base = base.trim_end_matches('/').to_owned();
         let engine = || Engine {
             agent: ureq::Agent::new_with_defaults(),
@@ -124,10 +124,10 @@
 
     fn read(&self, counts: bool) {
         if let Some(it) = self.get("/state") {
-            self.to.send(Heard::Register(it));
+            self.to.send(EngineEvent::Register(it));
         }
         if counts && let Some(Counts { step, tokens }) = self.get("/experts") {
-            self.to.send(Heard::Counts(step, tokens));
+            self.to.send(EngineEvent::Counts(step, tokens));
         }
     }
 
@@ -137,7 +137,7 @@
                 self.order(order, &map);
                 while !self.to.is_closed() {
                     if let Some(it) = self.get("/state") {
-                        self.to.send(Heard::Done(it));
+                        self.to.send(EngineEvent::Done(it));
                         return;
                     }
                     std::thread::sleep(AGAIN);
@@ -145,7 +145,7 @@
             }
             Command::Map => {
                 if let Some(it) = self.get("/map") {
-                    self.to.send(Heard::Map(it));
+                    self.to.send(EngineEvent::Map(it));
                 }
                 map_asked.store(false, Ordering::Relaxed);
             }
