--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -50,7 +50,7 @@
 const KEEP_MAPS: usize = 4;
 
 /// A message to a member of the group.
-pub type Send = (PeerKey, Body);
+pub type Outgoing = (PeerKey, Body);
 
 /// What does not change while the declaration does not.
 struct Fixed {
@@ -90,7 +90,7 @@
 
 /// Why a declared group cannot be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OpenError {
     /// This target is not among its members.
     NotMember,
     /// It has more members than a switch takes.
@@ -106,13 +106,13 @@
         checks_fence: bool,
         orders: Orders,
         (log, metrics): (Logger, Arc<Metrics>),
-    ) -> Result<Self, Refused> {
+    ) -> Result<Self, OpenError> {
         let members: Vec<String> =
             it.resource.members.iter().map(|name| format!("{}/{name}", it.partner)).collect();
         if members.len() > MAX_MEMBERS {
-            return Err(Refused::TooMany);
+            return Err(OpenError::TooMany);
         }
-        let me = members.iter().position(|it| it == target).ok_or(Refused::NotMember)?;
+        let me = members.iter().position(|it| it == target).ok_or(OpenError::NotMember)?;
         let shape = Shape {
             ranks: it.resource.ranks as usize,
             layers: it.resource.layers as usize,
@@ -183,7 +183,7 @@
     // The switch.
 
     /// Takes a message of another member.
-    pub fn ballot(&mut self, now: Millis, peer: PeerKey, it: &wire::Ballot) -> Vec<Send> {
+    pub fn ballot(&mut self, now: Millis, peer: PeerKey, it: &wire::Ballot) -> Vec<Outgoing> {
         let from = self.links.iter().find(|(_, link)| **link == peer).map(|it| *it.0);
         // A member may have dialled on another connection: its name tells as well.
         let named = self.fixed.members.iter().position(|name| *name == it.member);
@@ -231,7 +231,7 @@
         self.maps.insert(map.digest(), map);
     }
 
-    fn carry_out(&mut self, outputs: Vec<Output>) -> Vec<Send> {
+    fn carry_out(&mut self, outputs: Vec<Output>) -> Vec<Outgoing> {
         let mut sends = Vec::new();
         for output in outputs {
             match output {
@@ -283,7 +283,7 @@
     }
 
     /// Takes what the engine said.
-    pub fn heard(&mut self, now: Millis, heard: EngineEvent) -> Vec<Send> {
+    pub fn heard(&mut self, now: Millis, heard: EngineEvent) -> Vec<Outgoing> {
         match heard {
             EngineEvent::Register(it) => self.register(now, it, false),
             EngineEvent::Done(it) => {
@@ -314,7 +314,7 @@
         }
     }
 
-    fn register(&mut self, now: Millis, it: Register, done: bool) -> Vec<Send> {
+    fn register(&mut self, now: Millis, it: Register, done: bool) -> Vec<Outgoing> {
         self.measure(now, it.step);
         let size = self.fixed.members.len() as u8;
         let Some(member) = &mut self.member else {
@@ -353,7 +353,7 @@
     // Time and plans.
 
     /// Reads the engine, asks for missing votes, and plans if that is due.
-    pub fn tick(&mut self, now: Millis) -> Vec<Send> {
+    pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
         let planner = self.fixed.me == 0;
         let every = if planner { COUNT_EVERY } else { COUNT_RARELY };
         let count = now >= self.counted + every;
@@ -378,7 +378,7 @@
         sends
     }
 
-    fn plan(&mut self, now: Millis) -> Vec<Send> {
+    fn plan(&mut self, now: Millis) -> Vec<Outgoing> {
         let decision = self.decide(now);
         let (outcome, map, moves) = match decision {
             Decision::Keep(reason) => {
--- a/crates/sablepass-agent/src/member.rs
+++ b/crates/sablepass-agent/src/member.rs
@@ -73,7 +73,7 @@
         self.send_all(sends);
     }
 
-    pub(crate) fn send_all(&self, sends: Vec<group::Send>) {
+    pub(crate) fn send_all(&self, sends: Vec<group::Outgoing>) {
         for (peer, body) in sends {
             self.send(Some(peer), body);
         }
