--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -113,7 +113,7 @@
         // low after a clock went back is found out by the first order.
         let hall = settings.node.hall.clone();
         let (link, fence) = (settings.link, clock::time_of_day());
-        let ranks = Ranks::open(log.clone(), metrics.clone(), hall, link, fence);
+        let ranks = Ranks::new(log.clone(), metrics.clone(), hall, link, fence);
         let mut observer = Self {
             settings,
             target,
@@ -171,7 +171,7 @@
                 }
             }
             mesh::Event::Message(peer, body) => {
-                let list = self.ranks.message(clock::now(), peer, body);
+                let list = self.ranks.on_message(clock::now(), peer, body);
                 self.carry_out(list.unwrap_or_default());
             }
             mesh::Event::Instances(it) => {
@@ -216,7 +216,7 @@
         self.service.clone_from(&mine.serves);
         let bounds = self.bounds.get(&self.service).map(|it| it.1);
         let bounds = bounds.filter(|_| self.settings.keeps_maps);
-        self.ranks.declare(bounds);
+        self.ranks.set_bounds(bounds);
         if bounds.is_none() {
             return;
         }
@@ -252,7 +252,7 @@
             call!([self.engine], ask(Call::Report));
         }
         if active && count && self.reading.is_some() {
-            if self.ranks.wants_counts() {
+            if self.ranks.needs_counts() {
                 call!([self.engine], ask(Call::Counts));
             }
             let list = self.ranks.tick(now);
@@ -285,7 +285,7 @@
             (Call::Report, Ok(it)) => self.lost(now, &format!("status {}", it.status), false),
             (Call::Report, Err(e)) => self.lost(now, &e.to_string(), e.is_refused()),
             _ => {
-                let list = self.ranks.heard(now, &ask, &heard);
+                let list = self.ranks.on_call_result(now, &ask, &heard);
                 self.carry_out(list);
             }
         }
@@ -312,7 +312,7 @@
         }
         let busy = report.running + report.waiting > 0;
         self.steps.watch(now, report.group.as_ref().map_or(0, |it| it.reading.step), busy);
-        let list = self.ranks.report(now, report.group.clone(), report.running);
+        let list = self.ranks.on_report(now, report.group.clone(), report.running);
         self.carry_out(list);
         self.reading = Some(Reading { report, at: now });
         let state = self.state();
--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -29,9 +29,9 @@
 use slog::Logger;
 
 use crate::engine::{Call, CallResult};
-use crate::ranks::maps::Base;
+use crate::ranks::maps::BaseMap;
 use crate::ranks::planner::Obstacle;
-use crate::ranks::votes::done;
+use crate::ranks::votes::order_outcome;
 
 mod maps;
 mod planner;
@@ -41,11 +41,11 @@
 /// Ticks between two tallies of a rank to the planner, and of the planner to all,
 /// beside those that tell of a change. At each tick they were 1,910 messages a
 /// second at the planner of 192 ranks; so they are 382.
-const TELL_TICKS: u64 = 5;
+const REPORT_INTERVAL_TICKS: u64 = 5;
 
 /// Weight of a reading in the requests that a rank runs: some ten readings,
 /// which come every 25 to 100 ms.
-const RUNNING_WEIGHT: f64 = 0.1;
+const RUNNING_EWMA_WEIGHT: f64 = 0.1;
 
 /// What is to be done.
 #[derive(Debug)]
@@ -58,12 +58,12 @@
 
 /// What a rank last told.
 #[derive(Clone, Debug)]
-struct Rank {
+struct RankStatus {
     peer: PeerKey,
     /// It is in the own hall.
-    near: bool,
+    in_own_hall: bool,
     epoch: u64,
-    at: Millis,
+    received_at: Millis,
     step: u64,
     version: u64,
     prepared: u64,
@@ -75,13 +75,13 @@
 
 /// How the planner is to be told the counts.
 #[derive(Clone, Copy, Debug)]
-struct Sampled {
+struct CountsRequest {
     /// Choices of a layer that are drawn; none for all counts as they are.
     draws: Option<u32>,
 }
 
 /// A map that the own rank is to prepare.
-struct Wanted {
+struct Preparation {
     version: u64,
     map: Map,
     /// Orders given for it.
@@ -92,7 +92,7 @@
 struct Proposed {
     version: u64,
     /// When it is given up if not all of them have prepared it.
-    until: Millis,
+    deadline: Millis,
     /// The switch to it was proposed.
     switching: bool,
     /// The lag worked out for it.
@@ -110,45 +110,45 @@
     refused: Option<u16>,
     group: Option<Group>,
     fence: u64,
-    ranks: BTreeMap<u16, Rank>,
+    ranks: BTreeMap<u16, RankStatus>,
     /// The own hall.
     hall: String,
     /// Mbit/s that the machine's link takes.
-    link: f64,
+    link_mbps: f64,
     /// Connections to other agents, of whatever group, and their halls.
     agents: BTreeMap<PeerKey, String>,
     lists: Option<Lists>,
     /// How the planner is to be told the counts, if it is.
-    sampled: Option<Sampled>,
+    counts_request: Option<CountsRequest>,
     /// The own rank's counts, and the planner that was told them.
     counts: demand::Counts,
-    told: Option<PeerKey>,
+    counts_sent_to: Option<PeerKey>,
     demand: Option<Demand>,
     /// What is in demand since the last shift.
-    watch: DemandMonitor,
+    demand_monitor: DemandMonitor,
     /// A map that was in force last, if it is known as a whole.
-    base: Option<Base>,
+    base: Option<BaseMap>,
     /// How even maps turn out, beside rank 0.
     calibration: LagCalibration,
     /// Demand has shifted since the map in force came.
     outdated: bool,
     /// The map being prepared at the own rank.
-    wanted: Option<Wanted>,
+    preparation: Option<Preparation>,
     ticks: u64,
     /// When an order last went unanswered.
-    unanswered: Option<Millis>,
+    last_unanswered_at: Option<Millis>,
     proposed: Option<Proposed>,
     /// After a search that found no better map.
-    rest: Option<SearchBackoff>,
+    search_backoff: Option<SearchBackoff>,
     /// Highest version known to be used up.
-    highest: u64,
+    highest_version: u64,
     /// What keeps the planner from planning, since when, and whether that was said.
     obstacle: Option<(Obstacle, Millis, bool)>,
     /// When the last step was seen to begin, and milliseconds of a pass.
-    paced: Option<(Millis, u64)>,
-    pass: f64,
+    last_step: Option<(Millis, u64)>,
+    pass_ms: f64,
     /// Requests that the own rank runs, over some time.
-    running: f64,
+    mean_running: f64,
     /// Lag of the map in force under what is in demand, beside rank 0.
     lag: Option<f64>,
 }
@@ -156,7 +156,13 @@
 impl Ranks {
     /// Opens without knowledge, in a hall, behind a link of so many Mbit/s. Orders
     /// carry fences above `fence`.
-    pub fn open(log: Logger, metrics: Arc<Metrics>, hall: String, link: f64, fence: u64) -> Self {
+    pub fn new(
+        log: Logger,
+        metrics: Arc<Metrics>,
+        hall: String,
+        link_mbps: f64,
+        fence: u64,
+    ) -> Self {
         Self {
             log,
             metrics,
@@ -167,33 +173,33 @@
             fence,
             ranks: BTreeMap::new(),
             hall,
-            link,
+            link_mbps,
             agents: BTreeMap::new(),
             lists: None,
-            sampled: None,
+            counts_request: None,
             counts: demand::Counts::default(),
-            told: None,
+            counts_sent_to: None,
             demand: None,
-            watch: DemandMonitor::default(),
+            demand_monitor: DemandMonitor::default(),
             base: None,
             calibration: LagCalibration::default(),
             outdated: false,
-            wanted: None,
+            preparation: None,
             ticks: 0,
-            unanswered: None,
+            last_unanswered_at: None,
             proposed: None,
-            rest: None,
-            highest: 0,
+            search_backoff: None,
+            highest_version: 0,
             obstacle: None,
-            paced: None,
-            pass: 0.0,
-            running: 0.0,
+            last_step: None,
+            pass_ms: 0.0,
+            mean_running: 0.0,
             lag: None,
         }
     }
 
     /// Takes what is declared of the group's maps, if the target is a rank of one.
-    pub fn declare(&mut self, bounds: Option<Bounds>) {
+    pub fn set_bounds(&mut self, bounds: Option<Bounds>) {
         self.bounds = bounds;
     }
 
@@ -205,17 +211,17 @@
     /// Whether something is under way that wants frequent readings.
     pub fn is_busy(&self) -> bool {
         let switching = self.member.as_ref().is_some_and(|it| !it.is_free());
-        let preparing = self.wanted.as_ref().is_some_and(|wanted| {
-            self.group.as_ref().is_some_and(|it| it.reading.prepared != Some(wanted.version))
+        let preparing = self.preparation.as_ref().is_some_and(|preparation| {
+            self.group.as_ref().is_some_and(|it| it.reading.prepared != Some(preparation.version))
         });
         self.is_active() && (switching || preparing)
     }
 
     /// Whether the own rank's counts are of use: to the planner, here or
     /// elsewhere.
-    pub fn wants_counts(&self) -> bool {
+    pub fn needs_counts(&self) -> bool {
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0);
-        self.is_active() && (planner || self.sampled.is_some())
+        self.is_active() && (planner || self.counts_request.is_some())
     }
 
     /// Lag of the map in force under what is in demand, if this agent plans. That of
@@ -229,7 +235,7 @@
     /// A connection to another agent came up.
     pub fn up(&mut self, now: Millis, peer: PeerKey, hall: String) -> Vec<Action> {
         self.agents.insert(peer, hall);
-        self.tell(now, peer).into_iter().collect()
+        self.report_to(now, peer).into_iter().collect()
     }
 
     /// A connection went down.
@@ -241,20 +247,20 @@
     // The own rank.
 
     /// Takes the replica's account of its group, and how many requests it runs.
-    pub fn report(&mut self, now: Millis, group: Option<Group>, running: u32) -> Vec<Action> {
-        self.running += RUNNING_WEIGHT * (f64::from(running) - self.running);
+    pub fn on_report(&mut self, now: Millis, group: Option<Group>, running: u32) -> Vec<Action> {
+        self.mean_running += RUNNING_EWMA_WEIGHT * (f64::from(running) - self.mean_running);
         let Some(group) = group.filter(|_| self.bounds.is_some()) else {
             self.group = None;
             return Vec::new();
         };
         let before = self.group.replace(group.clone());
         let reading = group.reading;
-        self.measure(now, reading.step);
+        self.update_pass_time(now, reading.step);
         let formed = before.as_ref().is_none_or(|it| it.reading.epoch != reading.epoch);
         if formed {
-            self.formed(&group);
+            self.reset_for_group(&group);
         }
-        self.join(&group);
+        self.open_member(&group);
         let outputs = match &mut self.member {
             // A group that is not complete takes no orders.
             Some(member) if group.open => member.on_reading(reading),
@@ -268,7 +274,7 @@
         if moved(|it| Some(it.version)) {
             slog::info!(self.log, "expert map in force"; "version" => reading.version,
                 "epoch" => reading.epoch, "step" => reading.step);
-            self.remember_map(reading.version);
+            self.keep_base_map(reading.version);
         }
         if self
             .lists
@@ -279,16 +285,16 @@
         }
         if !known {
             // Whoever passes something on has to know which rank is where.
-            list.extend(self.tell_all(now));
+            list.extend(self.report_to_all(now));
         } else if moved(|it| Some(it.version)) || moved(|it| it.prepared) || formed {
-            list.extend(self.tell_planner(now));
+            list.extend(self.report_to_planner(now));
         }
         list
     }
 
     /// Opens the member of the switch. A group that is too large for one goes on
     /// without maps of ours.
-    fn join(&mut self, group: &Group) {
+    fn open_member(&mut self, group: &Group) {
         if self.member.is_some() || self.refused == Some(group.size) {
             return;
         }
@@ -303,40 +309,41 @@
         }
     }
 
-    fn formed(&mut self, group: &Group) {
+    fn reset_for_group(&mut self, group: &Group) {
         slog::info!(self.log, "group formed"; "group" => &group.name, "rank" => group.rank,
             "size" => group.size, "epoch" => group.reading.epoch, "open" => group.open);
         self.base = None;
-        self.wanted = None;
+        self.preparation = None;
         self.proposed = None;
         self.lag = None;
-        self.rest = None;
+        self.search_backoff = None;
         self.lists = None;
         let bounds = self.bounds.as_ref();
         self.demand = bounds
             .map(|it| Demand::new(group.size.into(), it.layers as usize, it.experts as usize));
     }
 
-    fn measure(&mut self, now: Millis, step: u64) {
-        match self.paced {
+    fn update_pass_time(&mut self, now: Millis, step: u64) {
+        match self.last_step {
             Some((at, last)) if step > last => {
-                let pass = now.saturating_sub(at) as f64 / (step - last) as f64;
-                self.pass = if self.pass > 0.0 { 0.7 * self.pass + 0.3 * pass } else { pass };
-                self.paced = Some((now, step));
+                let pass_ms = now.saturating_sub(at) as f64 / (step - last) as f64;
+                self.pass_ms =
+                    if self.pass_ms > 0.0 { 0.7 * self.pass_ms + 0.3 * pass_ms } else { pass_ms };
+                self.last_step = Some((now, step));
             }
             Some((_, last)) if step == last => {}
-            _ => self.paced = Some((now, step)),
+            _ => self.last_step = Some((now, step)),
         }
     }
 
     /// Takes the end of a call to the replica.
-    pub fn heard(&mut self, now: Millis, ask: &Call, heard: &CallResult) -> Vec<Action> {
+    pub fn on_call_result(&mut self, now: Millis, ask: &Call, heard: &CallResult) -> Vec<Action> {
         match (ask, heard) {
             (Call::Order(_), it) => {
                 let done = match it {
-                    Ok(it) => done(it.status),
+                    Ok(it) => order_outcome(it.status),
                     Err(_) => {
-                        self.unanswered = Some(now);
+                        self.last_unanswered_at = Some(now);
                         Done::Unknown
                     }
                 };
@@ -346,33 +353,33 @@
                 vec![Action::Call(Call::Report)]
             }
             (Call::Prepare(_), it) => {
-                let mut list = self.prepared(it);
+                let mut list = self.on_prepare_result(it);
                 list.push(Action::Call(Call::Report));
                 list
             }
             (Call::Counts, Ok(Answer { status: 200, body, .. })) => match engine::picked(body) {
-                Ok(it) => self.picked(now, it),
-                Err(e) => self.not_decoded(&e),
+                Ok(it) => self.on_counts(now, it),
+                Err(e) => self.log_decode_error(&e),
             },
             (Call::Lists, Ok(Answer { status: 200, body, .. })) => match engine::lists(body) {
                 Ok(it) => {
                     self.lists = Some(it);
-                    let mut list: Vec<Action> = self.tell_planner(now).into_iter().collect();
-                    list.extend(self.consider(now));
+                    let mut list: Vec<Action> = self.report_to_planner(now).into_iter().collect();
+                    list.extend(self.propose_if_better(now));
                     list
                 }
-                Err(e) => self.not_decoded(&e),
+                Err(e) => self.log_decode_error(&e),
             },
             _ => Vec::new(),
         }
     }
 
-    fn not_decoded(&self, e: &sablepass_platform::Error) -> Vec<Action> {
+    fn log_decode_error(&self, e: &sablepass_platform::Error) -> Vec<Action> {
         slog::warn!(self.log, "answer not decoded"; "error" => %e);
         Vec::new()
     }
 
-    fn picked(&mut self, now: Millis, it: Picked) -> Vec<Action> {
+    fn on_counts(&mut self, now: Millis, it: Picked) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         if it.epoch != group.reading.epoch {
             return Vec::new();
@@ -385,14 +392,14 @@
             return Vec::new();
         }
         let Some(planner) = self.ranks.get(&0).map(|it| it.peer) else { return Vec::new() };
-        if self.told != Some(planner) {
-            self.told = Some(planner);
+        if self.counts_sent_to != Some(planner) {
+            self.counts_sent_to = Some(planner);
             self.counts.reset();
         }
         let chosen = self.counts.advance(it.counts).unwrap_or_default();
         let tally = match chosen.is_empty() {
             true => self.tally(now, false),
-            false => self.chosen(now, &chosen),
+            false => self.counts_tally(now, &chosen),
         };
         tally.map(|it| Action::Send(planner, Body::Tally(it))).into_iter().collect()
     }
@@ -404,17 +411,17 @@
     }
 
     /// Takes a message of another agent. None if it is not for groups.
-    pub fn message(&mut self, now: Millis, peer: PeerKey, body: Body) -> Option<Vec<Action>> {
+    pub fn on_message(&mut self, now: Millis, peer: PeerKey, body: Body) -> Option<Vec<Action>> {
         match body {
             Body::Tally(it) => Some(self.on_tally(now, peer, it)),
             Body::Proposal(it) => Some(self.on_proposal(peer, &it)),
-            Body::MapPull(it) => Some(self.on_pull(peer, &it)),
+            Body::MapPull(it) => Some(self.on_map_pull(peer, &it)),
             Body::Barrier(it) => Some(self.on_barrier(&it)),
             _ => None,
         }
     }
 
-    fn is_mine(&self, group: &str, epoch: u64) -> bool {
+    fn is_own_epoch(&self, group: &str, epoch: u64) -> bool {
         self.group.as_ref().is_some_and(|it| it.name == group && it.reading.epoch == epoch)
     }
 
@@ -428,8 +435,8 @@
         let rank = self.group.as_ref().map(|it| it.rank);
         self.ticks += 1;
         let turn = self.ticks + u64::from(rank.unwrap_or(0));
-        if rank != Some(0) && turn.is_multiple_of(TELL_TICKS) {
-            list.extend(self.tell_planner(now));
+        if rank != Some(0) && turn.is_multiple_of(REPORT_INTERVAL_TICKS) {
+            list.extend(self.report_to_planner(now));
         }
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0 && it.open);
         if planner {
@@ -438,8 +445,8 @@
             }
             list.extend(self.try_switch(now));
             list.extend(self.plan(now));
-            if self.ticks.is_multiple_of(TELL_TICKS) {
-                list.extend(self.tell_all(now));
+            if self.ticks.is_multiple_of(REPORT_INTERVAL_TICKS) {
+                list.extend(self.report_to_all(now));
             }
         }
         list
@@ -452,7 +459,7 @@
             "group": self.group_name(), "rank": self.group.as_ref().map(|it| it.rank),
             "epoch": reading.map(|it| it.epoch), "version": reading.map(|it| it.version),
             "step": reading.map(|it| it.step), "ranks_heard": self.ranks.len(),
-            "pass_ms": self.pass, "skew": self.lag,
+            "pass_ms": self.pass_ms, "skew": self.lag,
         })
     }
 }
--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -14,13 +14,13 @@
 use sablepass_wire::generated::frame::Body;
 
 use crate::engine::{Call, CallResult};
-use crate::ranks::votes::done;
-use crate::ranks::{Action, Ranks, Wanted};
+use crate::ranks::votes::order_outcome;
+use crate::ranks::{Action, Preparation, Ranks};
 
 /// How often the order to prepare a map is given again when it goes unanswered.
-const PREPARES: u32 = 4;
+const MAX_PREPARE_ORDERS: u32 = 4;
 /// A map that was in force, with the slots that all ranks know its experts by.
-pub(super) struct Base {
+pub(super) struct BaseMap {
     pub(super) version: u64,
     pub(super) map: Map,
 }
@@ -29,13 +29,15 @@
     /// Takes a proposed map, passes it on to the ranks below and prepares it. What
     /// differs from a map that is not known here is asked for as a whole.
     pub(super) fn on_proposal(&mut self, peer: PeerKey, it: &wire::Proposal) -> Vec<Action> {
-        let Some(shape) = self.map_shape().filter(|_| self.is_mine(&it.group, it.epoch)) else {
+        let Some(shape) = self.map_shape().filter(|_| self.is_own_epoch(&it.group, it.epoch))
+        else {
             return Vec::new();
         };
-        let map = if it.map.is_empty() { self.changed_map(it) } else { whole_map(shape, it) };
+        let map =
+            if it.map.is_empty() { self.apply_changes(it) } else { parse_full_map(shape, it) };
         match map {
             Ok(map) => {
-                let mut list = self.pass_on(it);
+                let mut list = self.forward_proposal(it);
                 list.extend(self.prepare(it.version, map));
                 list
             }
@@ -54,7 +56,7 @@
         }
     }
 
-    fn changed_map(&self, it: &wire::Proposal) -> Result<Map, difference::Error> {
+    fn apply_changes(&self, it: &wire::Proposal) -> Result<Map, difference::Error> {
         let known = self.base.as_ref().filter(|base| base.version == it.base);
         let first = || Map::initial(self.map_shape()?).ok().filter(|_| it.base == 0);
         let base = known.map(|it| it.map.clone()).or_else(first);
@@ -64,25 +66,27 @@
 
     /// Sends the map that is being prepared here to a rank that lacks the one it
     /// differs from.
-    pub(super) fn on_pull(&self, peer: PeerKey, it: &wire::MapPull) -> Vec<Action> {
-        let wanted = self.wanted.as_ref().filter(|wanted| wanted.version == it.version);
-        let Some(wanted) = wanted.filter(|_| self.is_mine(&it.group, it.epoch)) else {
+    pub(super) fn on_map_pull(&self, peer: PeerKey, it: &wire::MapPull) -> Vec<Action> {
+        let preparation =
+            self.preparation.as_ref().filter(|preparation| preparation.version == it.version);
+        let Some(preparation) = preparation.filter(|_| self.is_own_epoch(&it.group, it.epoch))
+        else {
             return Vec::new();
         };
         let whole = wire::Proposal {
             group: it.group.clone(),
             epoch: it.epoch,
             version: it.version,
-            map: wanted.map.encode().into(),
+            map: preparation.map.encode().into(),
             base: 0,
             changes: Vec::new(),
-            digest: wanted.map.digest(),
+            digest: preparation.map.digest(),
         };
         vec![Action::Send(peer, Body::Proposal(whole))]
     }
 
     /// Passes a proposed map on to the ranks below this one.
-    pub(super) fn pass_on(&self, it: &wire::Proposal) -> Vec<Action> {
+    pub(super) fn forward_proposal(&self, it: &wire::Proposal) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         let below = Tree::open(group.size).children(group.rank);
         let peers = below.filter_map(|rank| self.ranks.get(&rank)).map(|it| it.peer);
@@ -90,9 +94,9 @@
     }
 
     /// Remembers the map that came into force, if it was prepared here.
-    pub(super) fn remember_map(&mut self, version: u64) {
-        let wanted = self.wanted.as_ref().filter(|it| it.version == version);
-        self.base = wanted.map(|it| Base { version, map: it.map.clone() });
+    pub(super) fn keep_base_map(&mut self, version: u64) {
+        let preparation = self.preparation.as_ref().filter(|it| it.version == version);
+        self.base = preparation.map(|it| BaseMap { version, map: it.map.clone() });
     }
 
     /// The map in force, as the planner and all ranks know it.
@@ -103,18 +107,18 @@
 
     /// Works out the map in force from what the ranks hold, where this agent did
     /// not have it prepared.
-    pub(super) fn learn_map(&mut self) {
+    pub(super) fn derive_base_map(&mut self) {
         let Some(version) = self.group.as_ref().map(|it| it.reading.version) else { return };
         if self.map_in_force().is_some() {
             return;
         }
-        let Some(held) = self.held_map() else { return };
+        let Some(held) = self.map_from_ranks() else { return };
         let initial =
             Map::initial(held.shape).ok().filter(|it| version == 0 && it.holds_same(&held));
-        self.base = Some(Base { version, map: initial.unwrap_or(held) });
+        self.base = Some(BaseMap { version, map: initial.unwrap_or(held) });
     }
 
-    fn held_map(&self) -> Option<Map> {
+    fn map_from_ranks(&self) -> Option<Map> {
         let shape = self.map_shape()?;
         let mine = &self.lists.as_ref()?.experts;
         let mut layers = vec![Vec::new(); shape.layers];
@@ -146,35 +150,35 @@
             return Vec::new();
         };
         let reading = group.reading;
-        self.highest = self.highest.max(version);
+        self.highest_version = self.highest_version.max(version);
         if version <= reading.version || !group.open || !member.is_free() {
             return Vec::new();
         }
-        self.wanted = Some(Wanted { version, map, orders: 0 });
+        self.preparation = Some(Preparation { version, map, orders: 0 });
         self.order_prepare()
     }
 
     fn order_prepare(&mut self) -> Vec<Action> {
-        let (Some(group), Some(member), Some(wanted)) =
-            (&self.group, &mut self.member, &mut self.wanted)
+        let (Some(group), Some(member), Some(preparation)) =
+            (&self.group, &mut self.member, &mut self.preparation)
         else {
             return Vec::new();
         };
-        wanted.orders += 1;
-        if wanted.orders > PREPARES {
+        preparation.orders += 1;
+        if preparation.orders > MAX_PREPARE_ORDERS {
             return Vec::new();
         }
-        let (version, epoch) = (wanted.version, group.reading.epoch);
+        let (version, epoch) = (preparation.version, group.reading.epoch);
         let fence = member.prepare(version);
         slog::info!(self.log, "map to be prepared"; "version" => version, "epoch" => epoch,
-            "step" => group.reading.step, "fence" => fence, "orders" => wanted.orders);
-        let body = engine::prepare(version, &by_rank(&wanted.map), epoch, fence);
+            "step" => group.reading.step, "fence" => fence, "orders" => preparation.orders);
+        let body = engine::prepare(version, &experts_by_rank(&preparation.map), epoch, fence);
         vec![Action::Call(Call::Prepare(body))]
     }
 
-    pub(super) fn prepared(&mut self, heard: &CallResult) -> Vec<Action> {
+    pub(super) fn on_prepare_result(&mut self, heard: &CallResult) -> Vec<Action> {
         let done = match heard {
-            Ok(it) => done(it.status),
+            Ok(it) => order_outcome(it.status),
             Err(_) => Done::Unknown,
         };
         match done {
@@ -190,18 +194,18 @@
             Done::Refused => {}
         }
         slog::warn!(self.log, "map not prepared"; "done" => ?done,
-            "version" => self.wanted.as_ref().map(|it| it.version));
-        self.wanted = None;
+            "version" => self.preparation.as_ref().map(|it| it.version));
+        self.preparation = None;
         Vec::new()
     }
 }
 
-fn whole_map(shape: map::Shape, it: &wire::Proposal) -> Result<Map, difference::Error> {
+fn parse_full_map(shape: map::Shape, it: &wire::Proposal) -> Result<Map, difference::Error> {
     Ok(Map::parse(shape, &it.map)?)
 }
 
 /// The experts of each rank, layer by layer.
-fn by_rank(map: &Map) -> Vec<Vec<Vec<u16>>> {
+fn experts_by_rank(map: &Map) -> Vec<Vec<Vec<u16>>> {
     let rank = |layer: &map::Layer, rank: usize| {
         let held = layer.slots_of(map::Rank(rank as u16)).filter_map(|slot| layer.expert(slot));
         held.map(|it| it.0).collect::<Vec<u16>>()
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -12,46 +12,46 @@
 use sablepass_edge::clock;
 use sablepass_wire::generated as wire;
 
-use crate::ranks::{Action, Proposed, Rank, Ranks};
+use crate::ranks::{Action, Proposed, RankStatus, Ranks};
 
 /// Age of a rank's counts beyond which the planner does not plan: two and a
 /// half of the intervals at which they are told.
-const FRESH: Millis = 300;
+const MAX_COUNTS_AGE: Millis = 300;
 /// Age of what a rank told of itself beyond which it counts as silent: two and a
 /// half of the intervals at which ranks tell.
-const HEARD: Millis = 1_250;
+const MAX_STATUS_AGE: Millis = 1_250;
 /// How many times as long as copying takes ranks may be busy with a map, and
 /// how much longer, before it is given up: orders to them may go unanswered,
 /// and are given again after 25 ms up to three times.
-const PREPARE_TIMES: f64 = 1.5;
-const PREPARE_MORE: Millis = 1_000;
+const PREPARE_TIMEOUT_FACTOR: f64 = 1.5;
+const PREPARE_TIMEOUT_MARGIN: Millis = 1_000;
 /// How far ahead a switch is laid: two orders at each rank and the votes take 8
 /// ms, and readings of the last step are up to 25 ms old. A switch that is laid
 /// too short holds its step for as long, and is no less safe.
-const LEAD: Millis = 35;
+const SWITCH_LEAD: Millis = 35;
 /// How much further ahead it is laid while orders go unanswered, so that four
 /// of them can be given again before the step is held.
-const LEAD_UNANSWERED: Millis = 100;
+const EXTRA_SWITCH_LEAD: Millis = 100;
 /// How long an unanswered order counts as a sign of more.
-pub(super) const UNANSWERED: Millis = 5_000;
+pub(super) const UNANSWERED_WINDOW: Millis = 5_000;
 /// How long an obstacle to planning lasts before a line says so.
-const OBSTACLE: Millis = 1_000;
+const OBSTACLE_LOG_DELAY: Millis = 1_000;
 /// Passes that it is laid ahead at least, beside the one that begins next: an
 /// idle group makes none until work comes.
-const LEAD_PASSES: u64 = 1;
+const MIN_LEAD_PASSES: u64 = 1;
 /// By how much versions jump when ranks refuse one: another planner used more.
 const VERSION_JUMP: u64 = 1_000;
 /// Requests that a rank runs, over some time, below which its group has next to
 /// nothing to do: copying slows nobody down then.
-const IDLE: f64 = 0.05;
+const IDLE_REQUESTS: f64 = 0.05;
 /// Microseconds of a millisecond.
-const MICROS: f64 = 1_000.0;
+const MICROS_PER_MILLI: f64 = 1_000.0;
 /// Parts in which the experts' part is declared.
 const THOUSANDTHS: f64 = 1_000.0;
 
 /// Why a proposed map is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Dropped {
+enum DropReason {
     /// Demand moved on before the ranks had prepared it.
     Shifted,
     /// Ranks take far longer than copying does.
@@ -115,42 +115,42 @@
     /// better map.
     pub(super) fn plan(&mut self, now: Millis) -> Vec<Action> {
         let interval = self.demand.as_ref().and_then(|it| it.recent(1, 0));
-        let shifted = interval.is_some_and(|it| self.watch.observe(now, it));
+        let shifted = interval.is_some_and(|it| self.demand_monitor.observe(now, it));
         if shifted {
-            slog::info!(self.log, "demand shifted"; "life" => self.watch.expected_remaining_ms(now),
+            slog::info!(self.log, "demand shifted"; "life" => self.demand_monitor.expected_remaining_ms(now),
                 "step" => self.group.as_ref().map(|it| it.reading.step));
-            self.rest = None;
+            self.search_backoff = None;
             self.outdated = true;
             self.calibration.demand_shifted();
         }
-        self.weigh();
-        self.judge(now);
-        if let Some(why) = self.dropped(now, shifted) {
+        self.update_lag();
+        self.calibrate(now);
+        if let Some(why) = self.drop_reason(now, shifted) {
             let it = self.proposed.take();
             slog::warn!(self.log, "map given up"; "version" => it.map(|it| it.version), "why" => ?why);
-            if why == Dropped::Late {
-                self.highest += VERSION_JUMP;
+            if why == DropReason::Late {
+                self.highest_version += VERSION_JUMP;
             }
         }
-        self.consider(now)
+        self.propose_if_better(now)
     }
 
     /// Proposes a better map, if there is one and nothing keeps it from that.
-    pub(super) fn consider(&mut self, now: Millis) -> Vec<Action> {
+    pub(super) fn propose_if_better(&mut self, now: Millis) -> Vec<Action> {
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0 && it.open);
         if !planner || self.proposed.is_some() {
             return Vec::new();
         }
         let obstacle = self.obstacle(now);
-        self.note_obstacle(now, obstacle);
-        if obstacle.is_some() || self.rests(now) {
+        self.log_obstacle(now, obstacle);
+        if obstacle.is_some() || self.is_search_backed_off(now) {
             return Vec::new();
         }
         if let Some(it) = self.decide(now) {
             let cause = self.cause();
             return self.propose(now, &it, cause);
         }
-        match self.fill() {
+        match self.fill_spare_slots() {
             Some(it) => self.propose(now, &it, Cause::Idle),
             None => Vec::new(),
         }
@@ -168,9 +168,9 @@
 
     /// A map with fewer empty slots, while the group has next to nothing to do. No
     /// rank gets more new experts than the change says; most get fewer.
-    fn fill(&self) -> Option<rebalance::Change> {
+    fn fill_spare_slots(&self) -> Option<rebalance::Change> {
         let spare = self.bounds.as_ref()?.spare as usize;
-        let old = self.map_in_force().filter(|_| self.running < IDLE)?;
+        let old = self.map_in_force().filter(|_| self.mean_running < IDLE_REQUESTS)?;
         let map = rebalance::fill(spare, old)?;
         let lag = self.lag.unwrap_or(1.0);
         let (moves, max_copies) = (map.moves_from(old), spare * old.layers.len());
@@ -185,7 +185,7 @@
     }
 
     /// Why the map that is proposed can no longer be of use, if so.
-    fn dropped(&self, now: Millis, shifted: bool) -> Option<Dropped> {
+    fn drop_reason(&self, now: Millis, shifted: bool) -> Option<DropReason> {
         let it = self.proposed.as_ref()?;
         if self.group.as_ref().is_some_and(|group| group.reading.version >= it.version) {
             return None;
@@ -193,12 +193,12 @@
         let free = self.member.as_ref().is_some_and(Member::is_free);
         if it.switching {
             // A switch that is over has failed: this version is not in force.
-            return free.then_some(Dropped::Refused);
+            return free.then_some(DropReason::Refused);
         }
         if shifted {
-            return Some(Dropped::Shifted);
+            return Some(DropReason::Shifted);
         }
-        (now >= it.until).then_some(Dropped::Late)
+        (now >= it.deadline).then_some(DropReason::Late)
     }
 
     /// Why the planner cannot plan, if so.
@@ -207,19 +207,19 @@
             return Some(Obstacle::Switching);
         };
         let version = member.reading().map_or(0, |it| it.version);
-        let age = self.demand.as_ref().and_then(|it| it.age(now, &self.sample()));
-        if age.is_none_or(|it| it > FRESH) {
+        let age = self.demand.as_ref().and_then(|it| it.age(now, &self.sampled_ranks()));
+        if age.is_none_or(|it| it > MAX_COUNTS_AGE) {
             return Some(Obstacle::OldCounts);
         }
-        if !self.agree_on(now, version) {
+        if !self.all_ranks_on(now, version) {
             return Some(Obstacle::RankMissing);
         }
-        self.learn_map();
+        self.derive_base_map();
         self.map_in_force().is_none().then_some(Obstacle::NoMap)
     }
 
     /// Says what has kept the planner from planning for a while, once.
-    fn note_obstacle(&mut self, now: Millis, obstacle: Option<Obstacle>) {
+    fn log_obstacle(&mut self, now: Millis, obstacle: Option<Obstacle>) {
         let Some(it) = obstacle else {
             self.obstacle = None;
             return;
@@ -227,7 +227,7 @@
         let (known, since, told) = *self.obstacle.get_or_insert((it, now, false));
         if known != it {
             self.obstacle = Some((it, now, false));
-        } else if !told && now >= since + OBSTACLE {
+        } else if !told && now >= since + OBSTACLE_LOG_DELAY {
             let ranks: Vec<u16> = self.silent_ranks(now);
             self.metrics.plans.with_label_values(&[it.label()]).inc();
             slog::warn!(self.log, "planner waits"; "why" => ?it, "silent_ranks" => ?ranks,
@@ -238,8 +238,11 @@
 
     fn silent_ranks(&self, now: Millis) -> Vec<u16> {
         let size = self.group.as_ref().map_or(0, |it| it.size);
-        let fresh =
-            |rank: &u16| self.ranks.get(rank).is_some_and(|it| now.saturating_sub(it.at) <= HEARD);
+        let fresh = |rank: &u16| {
+            self.ranks
+                .get(rank)
+                .is_some_and(|it| now.saturating_sub(it.received_at) <= MAX_STATUS_AGE)
+        };
         (1..size).filter(|it| !fresh(it)).collect()
     }
 
@@ -247,28 +250,28 @@
         let bounds = self.bounds.as_ref()?;
         let options = rebalance::Options {
             spare: bounds.spare as usize,
-            copy_ms: f64::from(bounds.copy) / MICROS,
-            expert_share: self.expert_part(bounds),
-            demand_ms: self.watch.expected_remaining_ms(now),
+            copy_ms: f64::from(bounds.copy) / MICROS_PER_MILLI,
+            expert_share: self.expert_share(bounds),
+            demand_ms: self.demand_monitor.expected_remaining_ms(now),
             optimism: self.calibration.optimism(),
             ..rebalance::Options::default()
         };
         let map = self.map_in_force()?;
-        let change = rebalance::decide(&options, map, self.watch.demand()?, &self.paces());
+        let change = rebalance::decide(&options, map, self.demand_monitor.demand()?, &self.paces());
         if change.is_none() {
-            self.rest = self.lag.map(|lag| SearchBackoff::start(now, clock::now(), lag));
+            self.search_backoff = self.lag.map(|lag| SearchBackoff::start(now, clock::now(), lag));
         }
         change
     }
 
     /// Whether a search just now found nothing, and nothing speaks for another.
-    fn rests(&self, now: Millis) -> bool {
-        let rest = self.rest.as_ref().zip(self.lag);
-        rest.is_some_and(|(rest, lag)| rest.is_active(now, lag))
+    fn is_search_backed_off(&self, now: Millis) -> bool {
+        let search_backoff = self.search_backoff.as_ref().zip(self.lag);
+        search_backoff.is_some_and(|(search_backoff, lag)| search_backoff.is_active(now, lag))
     }
 
     /// Compares the map in force with what was worked out for it.
-    fn judge(&mut self, now: Millis) {
+    fn calibrate(&mut self, now: Millis) {
         let Some(lag) = self.lag.filter(|_| self.calibration.is_due(now)) else { return };
         self.calibration.record_lag(lag);
         slog::info!(self.log, "map judged"; "lag" => lag,
@@ -277,26 +280,27 @@
     }
 
     /// Works out the lag of the map in force, where all ranks told what they hold.
-    fn weigh(&mut self) {
-        let map = self.map_in_force().zip(self.watch.demand());
+    fn update_lag(&mut self) {
+        let map = self.map_in_force().zip(self.demand_monitor.demand());
         let lag = map.map(|(map, demand)| rebalance::mean_lag(map, demand, &self.paces()));
         self.lag = lag.or(self.lag);
     }
 
     /// Part of a pass on an even map that experts' work makes up, with as many
     /// sequences as the own rank has of late.
-    fn expert_part(&self, bounds: &Bounds) -> f64 {
-        let sequences = f64::from(bounds.sequence) * self.running.max(1.0);
+    fn expert_share(&self, bounds: &Bounds) -> f64 {
+        let sequences = f64::from(bounds.sequence) * self.mean_running.max(1.0);
         let experts = sequences * f64::from(bounds.part) / THOUSANDTHS;
         experts / (f64::from(bounds.step) + sequences).max(1.0)
     }
 
     /// Whether all other ranks were heard of lately and have this map in force.
-    fn agree_on(&self, now: Millis, version: u64) -> bool {
+    fn all_ranks_on(&self, now: Millis, version: u64) -> bool {
         let size = self.group.as_ref().map_or(0, |it| usize::from(it.size));
         let epoch = self.group.as_ref().map_or(0, |it| it.reading.epoch);
-        let same = |it: &&Rank| it.version == version && it.epoch == epoch;
-        let agrees = |it: &&Rank| same(it) && now.saturating_sub(it.at) <= HEARD;
+        let same = |it: &&RankStatus| it.version == version && it.epoch == epoch;
+        let agrees =
+            |it: &&RankStatus| same(it) && now.saturating_sub(it.received_at) <= MAX_STATUS_AGE;
         self.ranks.values().filter(agrees).count() + 1 >= size
     }
 
@@ -310,11 +314,11 @@
 
     fn propose(&mut self, now: Millis, change: &rebalance::Change, cause: Cause) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
-        let version = self.highest.max(group.reading.version) + 1;
+        let version = self.highest_version.max(group.reading.version) + 1;
         slog::info!(self.log, "map proposed"; "version" => version, "epoch" => group.reading.epoch,
             "skew" => change.lag_before, "expected" => change.lag_after, "moves" => change.moves,
             "copies" => change.max_copies, "saved" => change.saved_ms, "cause" => cause.label(),
-            "running" => self.running, "paces" => ?self.paces());
+            "running" => self.mean_running, "paces" => ?self.paces());
         self.metrics.expert_copies.with_label_values(&[cause.label()]).inc_by(change.moves as u64);
         let Some(old) = &self.base else { return Vec::new() };
         let proposal = wire::Proposal {
@@ -326,11 +330,12 @@
             changes: difference::between(&old.map, &change.map),
             digest: change.map.digest(),
         };
-        let copying = self.bounds.map_or(0.0, |it| f64::from(it.copy) / MICROS);
-        let copying = copying * change.max_copies as f64 * PREPARE_TIMES;
-        let until = now + copying as Millis + PREPARE_MORE;
-        self.proposed = Some(Proposed { version, until, switching: false, lag: change.lag_after });
-        let mut list = self.pass_on(&proposal);
+        let copying = self.bounds.map_or(0.0, |it| f64::from(it.copy) / MICROS_PER_MILLI);
+        let copying = copying * change.max_copies as f64 * PREPARE_TIMEOUT_FACTOR;
+        let deadline = now + copying as Millis + PREPARE_TIMEOUT_MARGIN;
+        self.proposed =
+            Some(Proposed { version, deadline, switching: false, lag: change.lag_after });
+        let mut list = self.forward_proposal(&proposal);
         list.extend(self.prepare(version, change.map.clone()));
         list
     }
@@ -344,7 +349,7 @@
         };
         let version = it.version;
         let epoch = group.reading.epoch;
-        let ready = |it: &&Rank| it.prepared == version && it.epoch == epoch;
+        let ready = |it: &&RankStatus| it.prepared == version && it.epoch == epoch;
         let others = self.ranks.values().filter(ready).count();
         let all = group.reading.prepared == Some(version) && others + 1 == usize::from(group.size);
         if group.reading.version >= version {
@@ -359,14 +364,14 @@
         it.switching = true;
         let steps = self.ranks.values().filter(|it| it.epoch == epoch).map(|it| it.step);
         let known = steps.max().unwrap_or(0);
-        let mine = self.unanswered.is_some_and(|at| now < at + UNANSWERED);
-        let shaky = mine || self.ranks.values().any(|it| it.unanswered);
-        let lead = if shaky { LEAD + LEAD_UNANSWERED } else { LEAD };
-        let ahead = if self.pass > 0.0 { (lead as f64 / self.pass).ceil() as u64 } else { 0 };
-        let step = known.max(group.reading.step) + ahead.max(LEAD_PASSES) + 1;
+        let own_unanswered = self.last_unanswered_at.is_some_and(|at| now < at + UNANSWERED_WINDOW);
+        let orders_unanswered = own_unanswered || self.ranks.values().any(|it| it.unanswered);
+        let lead = if orders_unanswered { SWITCH_LEAD + EXTRA_SWITCH_LEAD } else { SWITCH_LEAD };
+        let ahead = if self.pass_ms > 0.0 { (lead as f64 / self.pass_ms).ceil() as u64 } else { 0 };
+        let step = known.max(group.reading.step) + ahead.max(MIN_LEAD_PASSES) + 1;
         let plan = Plan { version, step };
         slog::info!(self.log, "switch proposed"; "version" => version, "at" => step,
-            "step" => group.reading.step, "pass" => self.pass);
+            "step" => group.reading.step, "pass" => self.pass_ms);
         let outputs = member.propose(plan);
         self.carry_out(outputs)
     }
--- a/crates/sablepass-agent/src/ranks/tally.rs
+++ b/crates/sablepass-agent/src/ranks/tally.rs
@@ -12,13 +12,13 @@
 use sablepass_wire::generated as wire;
 use sablepass_wire::generated::frame::Body;
 
-use crate::ranks::planner::UNANSWERED;
-use crate::ranks::{Action, Rank, Ranks, Sampled};
+use crate::ranks::planner::UNANSWERED_WINDOW;
+use crate::ranks::{Action, CountsRequest, RankStatus, Ranks};
 
 /// Thousandths, as paces are told on the wire.
-const PACE_UNIT: f64 = 1_000.0;
+const PACE_SCALE: f64 = 1_000.0;
 /// Milliseconds between two tellings of counts.
-const COUNTS_EVERY: f64 = 100.0;
+const COUNTS_INTERVAL_MS: f64 = 100.0;
 /// Separates the layers of a rank's experts on the wire.
 const LAYER_END: u32 = 65_535;
 
@@ -38,42 +38,48 @@
             step: group.reading.step,
             version: group.reading.version,
             prepared: group.reading.prepared.unwrap_or(0),
-            highest: self.highest,
+            highest: self.highest_version,
             chosen: Vec::new(),
             experts: experts.collect(),
-            pace: (group.pace * PACE_UNIT).round() as u32,
+            pace: (group.pace * PACE_SCALE).round() as u32,
             samples: false,
             draws: 0,
             totals: Vec::new(),
             drawn: Vec::new(),
-            unanswered: self.unanswered.is_some_and(|at| now < at + UNANSWERED),
+            unanswered: self.last_unanswered_at.is_some_and(|at| now < at + UNANSWERED_WINDOW),
         })
     }
 
     /// Layers of the declared maps, and experts of a layer.
-    fn layers_experts(&self) -> (usize, usize) {
+    fn layer_shape(&self) -> (usize, usize) {
         self.bounds.as_ref().map_or((0, 0), |it| (it.layers as usize, it.experts as usize))
     }
 
     /// How the planner has the ranks tell their counts.
     fn report_plan(&self) -> ReportPlan {
-        let (layers, experts) = self.layers_experts();
-        draw::report_plan(demand::MAX_SAMPLED_RANKS, layers, experts, self.link, COUNTS_EVERY)
+        let (layers, experts) = self.layer_shape();
+        draw::report_plan(
+            demand::MAX_SAMPLED_RANKS,
+            layers,
+            experts,
+            self.link_mbps,
+            COUNTS_INTERVAL_MS,
+        )
     }
 
     /// The ranks whose counts the planner asks for.
-    pub(super) fn sample(&self) -> Vec<bool> {
+    pub(super) fn sampled_ranks(&self) -> Vec<bool> {
         let size = self.group.as_ref().map_or(0, |it| it.size);
-        let near = |rank| rank == 0 || self.ranks.get(&rank).is_some_and(|it| it.near);
+        let near = |rank| rank == 0 || self.ranks.get(&rank).is_some_and(|it| it.in_own_hall);
         let near: Vec<bool> = (0..size).map(near).collect();
         demand::sample(&near, self.report_plan().ranks)
     }
 
     /// What the own rank's requests chose, for the planner.
-    pub(super) fn chosen(&self, now: Millis, chosen: &[u64]) -> Option<wire::Tally> {
+    pub(super) fn counts_tally(&self, now: Millis, chosen: &[u64]) -> Option<wire::Tally> {
         let tally = self.tally(now, false)?;
         let experts = self.bounds.as_ref()?.experts as usize;
-        let Some(draws) = self.sampled?.draws else {
+        let Some(draws) = self.counts_request?.draws else {
             return Some(wire::Tally { chosen: chosen.to_vec(), ..tally });
         };
         let start = rand::random();
@@ -87,46 +93,47 @@
     }
 
     /// Counts that a rank told, or what its draws stand for; none if it told none.
-    fn told(&self, it: &wire::Tally) -> Result<Option<Vec<u64>>, draw::Error> {
+    fn decode_counts(&self, it: &wire::Tally) -> Result<Option<Vec<u64>>, draw::Error> {
         if it.totals.is_empty() {
             return Ok(Some(it.chosen.clone()).filter(|it| !it.is_empty()));
         }
-        let (layers, experts) = self.layers_experts();
+        let (layers, experts) = self.layer_shape();
         let told = draw::parse(&it.totals, &it.drawn, layers)?;
         let counts: Vec<Vec<u64>> =
             told.iter().map(|it| it.counts(experts)).collect::<Result<_, _>>()?;
         Ok(Some(counts.concat()))
     }
 
-    pub(super) fn tell(&self, now: Millis, peer: PeerKey) -> Option<Action> {
+    pub(super) fn report_to(&self, now: Millis, peer: PeerKey) -> Option<Action> {
         let tally = self.tally(now, false)?;
-        Some(self.tell_one(&tally, &self.asked(), peer))
+        Some(self.report_body(&tally, &self.sampled_peers(), peer))
     }
 
-    pub(super) fn tell_all(&self, now: Millis) -> Vec<Action> {
+    pub(super) fn report_to_all(&self, now: Millis) -> Vec<Action> {
         let Some(tally) = self.tally(now, false) else { return Vec::new() };
-        let asked = self.asked();
-        self.agents.keys().map(|peer| self.tell_one(&tally, &asked, *peer)).collect()
+        let asked = self.sampled_peers();
+        self.agents.keys().map(|peer| self.report_body(&tally, &asked, *peer)).collect()
     }
 
-    fn tell_one(&self, tally: &wire::Tally, asked: &[PeerKey], peer: PeerKey) -> Action {
+    fn report_body(&self, tally: &wire::Tally, asked: &[PeerKey], peer: PeerKey) -> Action {
         let samples = asked.contains(&peer);
         let draws = self.report_plan().draws.filter(|_| samples).unwrap_or(0);
         Action::Send(peer, Body::Tally(wire::Tally { samples, draws, ..tally.clone() }))
     }
 
     /// The agents that the planner asks for counts; none if it is not here.
-    fn asked(&self) -> Vec<PeerKey> {
+    fn sampled_peers(&self) -> Vec<PeerKey> {
         if self.group.as_ref().is_none_or(|it| it.rank != 0) {
             return Vec::new();
         }
-        let sample = self.sample();
+        let sample = self.sampled_ranks();
         let asked = |rank: u16| sample.get(usize::from(rank)).is_some_and(|it| *it);
         self.ranks.iter().filter(|it| asked(*it.0)).map(|it| it.1.peer).collect()
     }
 
     pub(super) fn on_tally(&mut self, now: Millis, peer: PeerKey, it: wire::Tally) -> Vec<Action> {
-        self.highest = self.highest.max(it.highest).max(it.version).max(it.prepared);
+        self.highest_version =
+            self.highest_version.max(it.highest).max(it.version).max(it.prepared);
         if self.group.as_ref().is_none_or(|mine| mine.name != it.group) {
             return Vec::new();
         }
@@ -140,41 +147,41 @@
         };
         if rank == 0 {
             let draws = Some(it.draws).filter(|it| *it > 0);
-            self.sampled = it.samples.then_some(Sampled { draws });
+            self.counts_request = it.samples.then_some(CountsRequest { draws });
         }
-        let told = Rank {
+        let told = RankStatus {
             peer,
-            near: self.agents.get(&peer).is_some_and(|hall| *hall == self.hall),
+            in_own_hall: self.agents.get(&peer).is_some_and(|hall| *hall == self.hall),
             epoch: it.epoch,
-            at: now,
+            received_at: now,
             step: it.step,
             version: it.version,
             prepared: it.prepared,
             experts,
-            pace: f64::from(it.pace) / PACE_UNIT,
+            pace: f64::from(it.pace) / PACE_SCALE,
             unanswered: it.unanswered,
         };
         let changed = same.is_none();
         self.ranks.insert(rank, told);
-        let mine = self.is_mine(&it.group, it.epoch);
+        let mine = self.is_own_epoch(&it.group, it.epoch);
         if mine {
-            self.count(now, rank, &it);
+            self.record_counts(now, rank, &it);
         }
         let mut list = self.try_switch(now);
         if changed {
             // The last rank on a new map may be the one that the next was waiting for.
-            list.extend(self.consider(now));
+            list.extend(self.propose_if_better(now));
         }
         if !known {
-            list.extend(self.tell(now, peer));
+            list.extend(self.report_to(now, peer));
         }
         list
     }
 
     /// Takes a rank's counts into the demand. Those of another shape are counted
     /// as ignored.
-    fn count(&mut self, now: Millis, rank: u16, it: &wire::Tally) {
-        let told = self.told(it);
+    fn record_counts(&mut self, now: Millis, rank: u16, it: &wire::Tally) {
+        let told = self.decode_counts(it);
         let Some(demand) = &mut self.demand else { return };
         let fits = match told {
             Ok(None) => true,
@@ -188,7 +195,7 @@
 
     /// Tells the planner how the own rank stands and what it holds. Nobody else
     /// needs to know more than which rank is where.
-    pub(super) fn tell_planner(&self, now: Millis) -> Option<Action> {
+    pub(super) fn report_to_planner(&self, now: Millis) -> Option<Action> {
         let planner = self.ranks.get(&0)?.peer;
         Some(Action::Send(planner, Body::Tally(self.tally(now, true)?)))
     }
--- a/crates/sablepass-agent/src/ranks/votes.rs
+++ b/crates/sablepass-agent/src/ranks/votes.rs
@@ -56,7 +56,8 @@
     /// Takes a message of the switch. One that this group cannot have is
     /// counted, and changes nothing.
     pub(super) fn on_barrier(&mut self, it: &wire::Barrier) -> Vec<Action> {
-        let Some(group) = self.group.as_ref().filter(|_| self.is_mine(&it.group, it.epoch)) else {
+        let Some(group) = self.group.as_ref().filter(|_| self.is_own_epoch(&it.group, it.epoch))
+        else {
             return Vec::new();
         };
         let Ok((from, message)) = parse(it, group.size) else {
@@ -103,7 +104,7 @@
 }
 
 /// What became of an order, by the status of its answer.
-pub(super) fn done(status: u16) -> Done {
+pub(super) fn order_outcome(status: u16) -> Done {
     match engine::taken(status) {
         engine::Taken::Yes => Done::Taken,
         engine::Taken::No => Done::Refused,
