--- a/crates/sablepass-agent/src/answers.rs
+++ b/crates/sablepass-agent/src/answers.rs
@@ -35,7 +35,7 @@
     fn status(&self, reply: admin::Asker) {
         let (leaving, drained) = (self.gate.leaving(), self.drained);
         let (running, capacity, engine) =
-            (self.gate.running(), self.capacity, self.target.engine());
+            (self.gate.running(), self.capacity, self.target.is_engine());
         let ret = ret_some_do!(move |mesh: serde_json::Value| {
             let mut status = mesh;
             status["role"] = "agent".into();
--- a/crates/sablepass-agent/src/engine.rs
+++ b/crates/sablepass-agent/src/engine.rs
@@ -13,14 +13,14 @@
 use stakker::{ActorOwn, CX, Fwd, actor_new, call, fwd_to, ret_nop};
 
 /// How long a reading may take. It does not leave the machine.
-const CALL_TIME: Duration = Duration::from_millis(120);
+const READ_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long an order may take: an answer comes within three milliseconds or not
 /// at all, and while it is waited for a step may be held.
-const ORDER_TIME: Duration = Duration::from_millis(25);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(25);
 /// Calls that wait at most; readings beyond it are not made.
-const QUEUE: usize = 16;
+const MAX_QUEUED_CALLS: usize = 16;
 /// Longest answer: the counts of some thousand experts.
-const ANSWER_LIMIT: usize = 4 << 20;
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// A call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,11 +44,11 @@
 
     fn call(&self) -> HttpCall {
         match self {
-            Self::Report => HttpCall::get(engine::REPORT_PATH, CALL_TIME),
-            Self::Counts => HttpCall::get(engine::PICKED_PATH, CALL_TIME),
-            Self::Lists => HttpCall::get(engine::LISTS_PATH, CALL_TIME),
+            Self::Report => HttpCall::get(engine::REPORT_PATH, READ_TIMEOUT),
+            Self::Counts => HttpCall::get(engine::PICKED_PATH, READ_TIMEOUT),
+            Self::Lists => HttpCall::get(engine::LISTS_PATH, READ_TIMEOUT),
             Self::Order(body) | Self::Prepare(body) => {
-                HttpCall::post(engine::ORDER_PATH, body.clone(), ORDER_TIME)
+                HttpCall::post(engine::ORDER_PATH, body.clone(), ORDER_TIMEOUT)
             }
         }
     }
@@ -69,35 +69,35 @@
     /// Opens without a connection.
     pub fn init(cx: CX![], target: SocketAddr, owner: Fwd<(Call, CallResult)>) -> Option<Self> {
         let caller = actor_new!(cx, Caller, ret_nop!());
-        let answers = fwd_to!([cx], heard() as (CallResult));
-        call!([caller], Caller::init(target, ANSWER_LIMIT, answers));
+        let answers = fwd_to!([cx], on_answer() as (CallResult));
+        call!([caller], Caller::init(target, MAX_ANSWER_BYTES, answers));
         Some(Self { owner, caller, waiting: VecDeque::new(), current: None })
     }
 
     /// Makes a call after those before it. A reading that already waits is
     /// not made twice.
-    pub fn ask(&mut self, _cx: CX![], it: Call) {
-        let skip = self.waiting.contains(&it) || self.waiting.len() >= QUEUE;
-        if skip && !it.is_order() {
+    pub fn enqueue(&mut self, _cx: CX![], call: Call) {
+        let skip = self.waiting.contains(&call) || self.waiting.len() >= MAX_QUEUED_CALLS;
+        if skip && !call.is_order() {
             return;
         }
-        self.waiting.push_back(it);
-        self.next();
+        self.waiting.push_back(call);
+        self.start_next();
     }
 
-    fn next(&mut self) {
+    fn start_next(&mut self) {
         if self.current.is_some() {
             return;
         }
-        let Some(ask) = self.waiting.pop_front() else { return };
-        call!([self.caller], call(ask.call()));
-        self.current = Some(ask);
+        let Some(next) = self.waiting.pop_front() else { return };
+        call!([self.caller], call(next.call()));
+        self.current = Some(next);
     }
 
-    fn heard(&mut self, _cx: CX![], heard: CallResult) {
-        if let Some(ask) = self.current.take() {
-            self.owner.fwd((ask, heard));
+    fn on_answer(&mut self, _cx: CX![], result: CallResult) {
+        if let Some(call) = self.current.take() {
+            self.owner.fwd((call, result));
         }
-        self.next();
+        self.start_next();
     }
 }
--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -30,43 +30,43 @@
 use crate::orders::{Command, EngineEvent, Orders};
 
 /// Time between two decisions of the planner.
-const PLAN_EVERY: Millis = 2_000;
+const PLAN_INTERVAL: Millis = 2_000;
 /// Least time between two changes: each sends the whole map to every member.
-const CHANGE_EVERY: Millis = 10_000;
+const MIN_CHANGE_INTERVAL: Millis = 10_000;
 /// Time between two readings of the counts by the planner.
-const COUNT_EVERY: Millis = 1_000;
+const PLANNER_COUNTS_INTERVAL: Millis = 1_000;
 /// The same for other members, who only show them.
-const COUNT_RARELY: Millis = 10_000;
+const MEMBER_COUNTS_INTERVAL: Millis = 10_000;
 /// Time between two questions for missing votes.
-const ASK_EVERY: Millis = 300;
+const VOTE_QUERY_INTERVAL: Millis = 300;
 /// How far ahead a plan's step lies, beyond the time that loading may take.
-const LEAD: Millis = 1_500;
+const SWITCH_LEAD: Millis = 1_500;
 /// Time that one loading of weights is expected to take.
-const LOAD_TIME: Millis = 5;
+const LOAD_TIME_PER_MOVE: Millis = 5;
 /// How long a new agent of an engine that checks no fence waits, so that its
 /// predecessor's last orders have arrived.
-const QUIESCE: Millis = 1_000;
+const PREDECESSOR_GRACE: Millis = 1_000;
 /// Maps of proposed plans that are kept.
-const KEEP_MAPS: usize = 4;
+const MAX_KEPT_MAPS: usize = 4;
 
 /// A message to a member of the group.
 pub type Outgoing = (PeerKey, Body);
 
 /// What does not change while the declaration does not.
-struct Fixed {
+struct Config {
     name: String,
     shape: Shape,
     members: Vec<String>,
-    me: u8,
+    own_index: u8,
     options: plan::Options,
-    quiet: Option<[u8; 2]>,
+    quiet_hours: Option<[u8; 2]>,
     /// From when on this member takes part.
-    from: Millis,
+    active_from: Millis,
 }
 
 /// The member.
 pub struct Group {
-    fixed: Fixed,
+    config: Config,
     declaration: Declaration,
     log: Logger,
     metrics: Arc<Metrics>,
@@ -76,16 +76,16 @@
     map: Option<Map>,
     maps: BTreeMap<u64, Map>,
     estimate: Estimate,
-    links: HashMap<u8, PeerKey>,
+    connections: HashMap<u8, PeerKey>,
     /// Steps a second, as seen.
-    pace: f64,
-    seen: Option<(Millis, u64)>,
-    pending: usize,
-    asked: Millis,
-    planned: Millis,
-    proposed: Millis,
-    counted: Millis,
-    last: String,
+    steps_per_second: f64,
+    last_step: Option<(Millis, u64)>,
+    pending_orders: usize,
+    queried_at: Millis,
+    planned_at: Millis,
+    proposed_at: Millis,
+    counts_read_at: Millis,
+    last_decision: String,
 }
 
 /// Why a declared group cannot be kept.
@@ -124,18 +124,18 @@
             move_weight: it.resource.move_weight,
             ..plan::Options::default()
         };
-        let fixed = Fixed {
+        let config = Config {
             name: format!("{}/{}", it.partner, it.resource.name),
             shape,
             members,
-            me: me as u8,
+            own_index: me as u8,
             options,
-            quiet: it.resource.quiet_hours,
-            from: if checks_fence { now } else { now + QUIESCE },
+            quiet_hours: it.resource.quiet_hours,
+            active_from: if checks_fence { now } else { now + PREDECESSOR_GRACE },
         };
         orders.send(Command::Map);
         Ok(Self {
-            fixed,
+            config,
             declaration: it.resource.clone(),
             log,
             metrics,
@@ -144,49 +144,49 @@
             map: None,
             maps: BTreeMap::new(),
             estimate: Estimate::new(drift::Options::default(), shape.layers, shape.experts),
-            links: HashMap::new(),
-            pace: 0.0,
-            seen: None,
-            pending: 0,
-            asked: 0,
-            planned: now,
-            proposed: 0,
-            counted: 0,
-            last: "none".to_owned(),
+            connections: HashMap::new(),
+            steps_per_second: 0.0,
+            last_step: None,
+            pending_orders: 0,
+            queried_at: 0,
+            planned_at: now,
+            proposed_at: 0,
+            counts_read_at: 0,
+            last_decision: "none".to_owned(),
         })
     }
 
     /// Whether the declaration is still this one.
-    pub fn is(&self, it: &Declared<Declaration>) -> bool {
+    pub fn has_declaration(&self, it: &Declared<Declaration>) -> bool {
         self.declaration == it.resource
     }
 
     /// Names of the other members.
     pub fn peers(&self) -> Vec<String> {
-        let me = usize::from(self.fixed.me);
-        let others = self.fixed.members.iter().enumerate().filter(|it| it.0 != me);
+        let me = usize::from(self.config.own_index);
+        let others = self.config.members.iter().enumerate().filter(|it| it.0 != me);
         others.map(|it| it.1.clone()).collect()
     }
 
     /// Records a connection to a member.
     pub fn up(&mut self, name: &str, peer: PeerKey) {
-        if let Some(index) = self.fixed.members.iter().position(|it| it == name) {
-            self.links.insert(index as u8, peer);
+        if let Some(index) = self.config.members.iter().position(|it| it == name) {
+            self.connections.insert(index as u8, peer);
         }
     }
 
     /// Records the end of a connection.
     pub fn down(&mut self, peer: PeerKey) {
-        self.links.retain(|_, it| *it != peer);
+        self.connections.retain(|_, it| *it != peer);
     }
 
     // The switch.
 
     /// Takes a message of another member.
-    pub fn ballot(&mut self, now: Millis, peer: PeerKey, it: &wire::Ballot) -> Vec<Outgoing> {
-        let from = self.links.iter().find(|(_, link)| **link == peer).map(|it| *it.0);
+    pub fn on_ballot(&mut self, now: Millis, peer: PeerKey, it: &wire::Ballot) -> Vec<Outgoing> {
+        let from = self.connections.iter().find(|(_, link)| **link == peer).map(|it| *it.0);
         // A member may have dialled on another connection: its name tells as well.
-        let named = self.fixed.members.iter().position(|name| *name == it.member);
+        let named = self.config.members.iter().position(|name| *name == it.member);
         let Some(from) = from.or(named.map(|it| it as u8)) else {
             self.metrics.ignored(Ignored::BadFrame);
             return Vec::new();
@@ -195,7 +195,7 @@
             self.metrics.ignored(Ignored::BadFrame);
             return Vec::new();
         };
-        let ready = now >= self.fixed.from;
+        let ready = now >= self.config.active_from;
         match self.member.as_mut().filter(|_| ready) {
             Some(member) => {
                 let outputs = member.on_message(from, message);
@@ -209,11 +209,11 @@
         let plan = Plan { version: it.version, step: it.step, digest: it.digest };
         match it.kind {
             0 => {
-                let map = Map::parse(self.fixed.shape, &it.map).ok()?;
+                let map = Map::parse(self.config.shape, &it.map).ok()?;
                 if map.digest() != it.digest {
                     return None;
                 }
-                self.keep(map);
+                self.store_map(map);
                 Some(Message::Propose(plan))
             }
             1 | 2 => Some(Message::Vote { plan, yes: it.kind == 1, floor: it.floor }),
@@ -222,8 +222,8 @@
         }
     }
 
-    fn keep(&mut self, map: Map) {
-        if self.maps.len() >= KEEP_MAPS {
+    fn store_map(&mut self, map: Map) {
+        if self.maps.len() >= MAX_KEPT_MAPS {
             let armed = self.member.as_ref().and_then(|it| it.register().armed);
             let armed = armed.map(|it| it.plan.digest);
             self.maps.retain(|digest, _| Some(*digest) == armed);
@@ -236,7 +236,7 @@
         for output in outputs {
             match output {
                 Output::Send(to, message) => {
-                    if let Some(peer) = self.links.get(&to) {
+                    if let Some(peer) = self.connections.get(&to) {
                         sends.push((*peer, self.body(message)));
                     }
                 }
@@ -255,14 +255,14 @@
             },
             Order::Bar(_) | Order::Commit(_) | Order::Abort(_) => Vec::new(),
         };
-        self.pending += 1;
+        self.pending_orders += 1;
         self.orders.send(Command::Order(order, map));
     }
 
     fn body(&self, message: Message) -> Body {
-        let member = self.fixed.members[usize::from(self.fixed.me)].clone();
+        let member = self.config.members[usize::from(self.config.own_index)].clone();
         let ballot = |kind, plan: Plan| wire::Ballot {
-            group: self.fixed.name.clone(),
+            group: self.config.name.clone(),
             kind,
             version: plan.version,
             step: plan.step,
@@ -283,17 +283,17 @@
     }
 
     /// Takes what the engine said.
-    pub fn heard(&mut self, now: Millis, heard: EngineEvent) -> Vec<Outgoing> {
-        match heard {
-            EngineEvent::Register(it) => self.register(now, it, false),
+    pub fn on_engine_event(&mut self, now: Millis, event: EngineEvent) -> Vec<Outgoing> {
+        match event {
+            EngineEvent::Register(it) => self.on_register(now, it, false),
             EngineEvent::Done(it) => {
-                self.pending = self.pending.saturating_sub(1);
-                let done = self.pending == 0;
-                self.register(now, it, done)
+                self.pending_orders = self.pending_orders.saturating_sub(1);
+                let done = self.pending_orders == 0;
+                self.on_register(now, it, done)
             }
             EngineEvent::Counts(step, tokens) => {
-                let fits = tokens.len() == self.fixed.shape.layers
-                    && tokens.iter().all(|it| it.len() == self.fixed.shape.experts);
+                let fits = tokens.len() == self.config.shape.layers
+                    && tokens.iter().all(|it| it.len() == self.config.shape.experts);
                 if fits {
                     self.estimate.observe(step, &tokens);
                 } else {
@@ -302,11 +302,11 @@
                 Vec::new()
             }
             EngineEvent::Map(bytes) => {
-                match Map::parse(self.fixed.shape, &bytes) {
+                match Map::parse(self.config.shape, &bytes) {
                     Ok(map) => self.map = Some(map),
                     Err(e) => {
                         slog::warn!(self.log, "the engine's map does not fit"; "error" => %e);
-                        self.last = format!("the engine's map does not fit: {e}");
+                        self.last_decision = format!("the engine's map does not fit: {e}");
                     }
                 }
                 Vec::new()
@@ -314,22 +314,22 @@
         }
     }
 
-    fn register(&mut self, now: Millis, it: Register, done: bool) -> Vec<Outgoing> {
-        self.measure(now, it.step);
-        let size = self.fixed.members.len() as u8;
+    fn on_register(&mut self, now: Millis, it: Register, done: bool) -> Vec<Outgoing> {
+        self.update_pace(now, it.step);
+        let size = self.config.members.len() as u8;
         let Some(member) = &mut self.member else {
-            self.member = Some(Member::open(self.fixed.me, size, it));
+            self.member = Some(Member::open(self.config.own_index, size, it));
             return Vec::new();
         };
         let before = member.register().current;
         let outputs = if done { member.on_done(it) } else { member.on_register(it) };
         if it.current != before {
-            self.switched(it);
+            self.on_switch(it);
         }
         self.carry_out(outputs)
     }
 
-    fn switched(&mut self, it: Register) {
+    fn on_switch(&mut self, it: Register) {
         self.metrics.map_version.set(it.version() as i64);
         slog::info!(self.log, "expert map in force"; "version" => it.version());
         let digest = it.current.map(|it| it.digest);
@@ -339,40 +339,44 @@
         }
     }
 
-    fn measure(&mut self, now: Millis, step: u64) {
-        if let Some((at, last)) = self.seen
+    fn update_pace(&mut self, now: Millis, step: u64) {
+        if let Some((at, last)) = self.last_step
             && now > at
             && step > last
         {
             let pace = (step - last) as f64 * 1_000.0 / (now - at) as f64;
-            self.pace = if self.pace > 0.0 { 0.8 * self.pace + 0.2 * pace } else { pace };
+            self.steps_per_second = if self.steps_per_second > 0.0 {
+                0.8 * self.steps_per_second + 0.2 * pace
+            } else {
+                pace
+            };
         }
-        self.seen = Some((now, step));
+        self.last_step = Some((now, step));
     }
 
     // Time and plans.
 
     /// Reads the engine, asks for missing votes, and plans if that is due.
     pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
-        let planner = self.fixed.me == 0;
-        let every = if planner { COUNT_EVERY } else { COUNT_RARELY };
-        let count = now >= self.counted + every;
+        let planner = self.config.own_index == 0;
+        let every = if planner { PLANNER_COUNTS_INTERVAL } else { MEMBER_COUNTS_INTERVAL };
+        let count = now >= self.counts_read_at + every;
         if self.orders.read(count) && count {
-            self.counted = now;
+            self.counts_read_at = now;
         }
         if self.member.is_none() || self.map.is_none() {
             self.orders.send_once(Command::Map);
         }
         let mut sends = Vec::new();
-        if now >= self.asked + ASK_EVERY
+        if now >= self.queried_at + VOTE_QUERY_INTERVAL
             && let Some(member) = &mut self.member
         {
-            self.asked = now;
+            self.queried_at = now;
             let outputs = member.tick();
             sends.extend(self.carry_out(outputs));
         }
-        if planner && now >= self.planned + PLAN_EVERY && now >= self.fixed.from {
-            self.planned = now;
+        if planner && now >= self.planned_at + PLAN_INTERVAL && now >= self.config.active_from {
+            self.planned_at = now;
             sends.extend(self.plan(now));
         }
         sends
@@ -384,7 +388,7 @@
             Decision::Keep(reason) => {
                 self.metrics.plans.with_label_values(&[reason.label()]).inc();
                 if !matches!(reason, Reason::Switching | Reason::TooSoon) {
-                    self.last = format!("kept: {}", reason.label());
+                    self.last_decision = format!("kept: {}", reason.label());
                 }
                 return Vec::new();
             }
@@ -394,16 +398,16 @@
         };
         let Some(member) = &mut self.member else { return Vec::new() };
         self.metrics.plans.with_label_values(&["proposed"]).inc();
-        let lead = LEAD + LOAD_TIME * moves as Millis;
-        let steps = (self.pace * lead as f64 / 1_000.0).ceil() as u64;
+        let lead = SWITCH_LEAD + LOAD_TIME_PER_MOVE * moves as Millis;
+        let steps = (self.steps_per_second * lead as f64 / 1_000.0).ceil() as u64;
         let plan = Plan {
             version: member.next_version(),
             step: member.register().step + steps.max(1),
             digest: map.digest(),
         };
         slog::info!(self.log, "expert map proposed"; "version" => plan.version, "why" => &outcome);
-        self.last = format!("proposed version {}, {outcome}", plan.version);
-        self.proposed = now;
+        self.last_decision = format!("proposed version {}, {outcome}", plan.version);
+        self.proposed_at = now;
         self.maps.insert(plan.digest, map);
         let outputs = member.propose(plan);
         self.carry_out(outputs)
@@ -413,20 +417,20 @@
         let (Some(member), Some(map)) = (&self.member, &self.map) else {
             return Decision::Keep(Reason::NoCounts);
         };
-        if member.register().armed.is_some() || self.pending > 0 {
+        if member.register().armed.is_some() || self.pending_orders > 0 {
             return Decision::Keep(Reason::Switching);
         }
-        if now < self.proposed + CHANGE_EVERY {
+        if now < self.proposed_at + MIN_CHANGE_INTERVAL {
             return Decision::Keep(Reason::TooSoon);
         }
-        if self.links.len() + 1 < self.fixed.members.len() {
+        if self.connections.len() + 1 < self.config.members.len() {
             return Decision::Keep(Reason::MemberAway);
         }
         let hour = (now / 3_600_000 % 24) as u8;
-        if plan::in_quiet_hours(self.fixed.quiet, hour) {
+        if plan::in_quiet_hours(self.config.quiet_hours, hour) {
             return Decision::Keep(Reason::QuietHours);
         }
-        plan::decide(&self.fixed.options, map, &self.estimate)
+        plan::decide(&self.config.options, map, &self.estimate)
     }
 
     /// How the group stands, as this member sees it.
@@ -440,10 +444,10 @@
         if !skews.is_empty() {
             self.metrics.skew.set(mean);
         }
-        let near = |index: &usize| *index == usize::from(self.fixed.me);
-        let reached = |index: usize| near(&index) || self.links.contains_key(&(index as u8));
+        let near = |index: &usize| *index == usize::from(self.config.own_index);
+        let reached = |index: usize| near(&index) || self.connections.contains_key(&(index as u8));
         let away: Vec<&String> = self
-            .fixed
+            .config
             .members
             .iter()
             .enumerate()
@@ -451,15 +455,15 @@
             .map(|it| it.1)
             .collect();
         json!({
-            "group": self.fixed.name, "planner": self.fixed.members[0], "members_away": away,
+            "group": self.config.name, "planner": self.config.members[0], "members_away": away,
             "version": register.map_or(0, |it| it.version()), "register": register,
-            "skew_mean": mean, "skew_by_layer": skews, "steps_a_second": self.pace,
-            "last_decision": self.last,
+            "skew_mean": mean, "skew_by_layer": skews, "steps_a_second": self.steps_per_second,
+            "last_decision": self.last_decision,
         })
     }
 
     /// The group's qualified name.
     pub fn name(&self) -> &str {
-        &self.fixed.name
+        &self.config.name
     }
 }
--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -26,7 +26,7 @@
 
 use crate::group::Group;
 use crate::listeners::Listeners;
-use crate::memory::Memory;
+use crate::memory::SuspectCache;
 use crate::notices::Notices;
 use crate::orders::EngineEvent;
 use crate::run::{Content, Job, Part};
@@ -34,7 +34,7 @@
 use crate::target::{Load, Target};
 
 /// Bytes of an unsafe request's answer that are kept for a caller who lost contact.
-const KEEP_ANSWER: usize = 64 * 1024;
+const MAX_KEPT_ANSWER_BYTES: usize = 64 * 1024;
 
 /// A request that runs, or whose answer is still kept.
 pub(crate) struct Active {
@@ -48,7 +48,7 @@
     /// The answer so far, for requests that must not repeat.
     pub(crate) kept: Vec<u8>,
     /// Everything of the answer is in `kept`.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
     pub(crate) end: Option<(Millis, Result<(), Failure>)>,
 }
 
@@ -81,10 +81,10 @@
     pub(crate) active: HashMap<AttemptId, Active>,
     pub(crate) ended: VecDeque<AttemptId>,
     pub(crate) entries: Listeners,
-    memory: Memory,
+    suspects: SuspectCache,
     pub(crate) load: Option<Load>,
     /// When the target last refused a connection, until it is known to take them again.
-    pub(crate) away: Option<Millis>,
+    pub(crate) unreachable_since: Option<Millis>,
     /// What the target said of itself.
     pub(crate) notices: Notices,
     pub(crate) capacity: u32,
@@ -119,9 +119,9 @@
             active: HashMap::new(),
             ended: VecDeque::new(),
             entries: Listeners::default(),
-            memory: Memory::default(),
+            suspects: SuspectCache::default(),
             load: None,
-            away: None,
+            unreachable_since: None,
             notices: Notices::default(),
             capacity: 0,
             stop_at: None,
@@ -130,7 +130,7 @@
             settings,
         };
         keeper.tick(cx);
-        keeper.beat(cx);
+        keeper.send_heartbeat(cx);
         Some(keeper)
     }
 
@@ -142,15 +142,15 @@
             mesh::Event::Up(peer, it) if it.role == "entry" && it.dialled.is_none() => {
                 self.entries.up(peer, it.name);
                 self.report();
-                let held = self.memory.recall(clock::now());
+                let held = self.suspects.message(clock::now());
                 held.into_iter().for_each(|it| self.send(Some(peer), it));
             }
-            mesh::Event::Up(peer, it) => self.agent_up(peer, it.name),
+            mesh::Event::Up(peer, it) => self.on_agent_connected(peer, it.name),
             mesh::Event::Down(peer) => self.down(peer),
             mesh::Event::Message(peer, body) => self.message(cx, peer, body),
             mesh::Event::Config(it) => {
                 self.declare(&it);
-                self.declare_group(&it);
+                self.set_group(&it);
             }
             mesh::Event::Entries(_) => {}
             mesh::Event::Instances(it) => {
@@ -175,10 +175,10 @@
             Body::Cancel(it) => convert::attempt("cancel", &it.request, it.attempt)
                 .map(|attempt| self.cancel(attempt)),
             Body::Ballot(it) => {
-                self.ballot(peer, &it);
+                self.on_ballot(peer, &it);
                 Ok(())
             }
-            Body::Suspects(it) => self.memory.take(clock::now(), it),
+            Body::Suspects(it) => self.suspects.update(clock::now(), it),
             Body::Probe(it) => convert::attempt("probe", &it.request, it.attempt)
                 .map(|attempt| self.probe(peer, attempt)),
             _ => {
@@ -204,7 +204,7 @@
         let attempt = asked.attempt;
         let now = clock::now();
         let notices = &mut self.notices;
-        match self.gate.dispatch_if(now, &asked, || notices.take(now)) {
+        match self.gate.dispatch_if(now, &asked, || notices.admit(now)) {
             Decision::Run => {
                 let key = asked.key.filter(|_| asked.unsafe_repeat);
                 self.start(peer, attempt, key, it);
@@ -223,7 +223,7 @@
     fn replay(&self, peer: PeerKey, attempt: AttemptId, it: &Answer) {
         let head = head_body(attempt, it.status, &it.content_type, true);
         self.send(Some(peer), head);
-        self.send_bytes(Some(peer), attempt, 0, &it.body);
+        self.send_chunk(Some(peer), attempt, 0, &it.body);
         self.send(Some(peer), done_body(attempt, it.body.len() as u64));
     }
 
@@ -237,7 +237,7 @@
             head: None,
             sent: 0,
             kept: Vec::new(),
-            whole: true,
+            complete: true,
             end: None,
         };
         self.active.insert(attempt, active);
@@ -264,8 +264,8 @@
     pub fn part(&mut self, _cx: CX![], part: Part) {
         let attempt = part.attempt;
         match part.content {
-            Content::Head { status, content_type, said } => {
-                self.said(attempt, said);
+            Content::Head { status, content_type, notice } => {
+                self.on_notice(attempt, notice);
                 let Some(active) = self.active.get_mut(&attempt) else {
                     return;
                 };
@@ -273,31 +273,31 @@
                 let peer = active.peer;
                 self.send(peer, head_body(attempt, status, &content_type, false));
             }
-            Content::Bytes(bytes) => self.bytes(attempt, &bytes),
+            Content::Bytes(bytes) => self.on_bytes(attempt, &bytes),
             Content::End => self.end(attempt, Ok(())),
             Content::Failed(failure) => self.end(attempt, Err(failure)),
         }
     }
 
-    fn bytes(&mut self, attempt: AttemptId, bytes: &[u8]) {
+    fn on_bytes(&mut self, attempt: AttemptId, bytes: &[u8]) {
         let Some(active) = self.active.get_mut(&attempt) else {
             return;
         };
         let offset = active.sent;
         active.sent += bytes.len() as u64;
-        if active.unsafe_repeat && active.whole {
-            if active.kept.len() + bytes.len() > KEEP_ANSWER {
-                active.whole = false;
+        if active.unsafe_repeat && active.complete {
+            if active.kept.len() + bytes.len() > MAX_KEPT_ANSWER_BYTES {
+                active.complete = false;
                 active.kept = Vec::new();
             } else {
                 active.kept.extend_from_slice(bytes);
             }
         }
         let peer = active.peer;
-        self.send_bytes(peer, attempt, offset, bytes);
+        self.send_chunk(peer, attempt, offset, bytes);
     }
 
-    fn send_bytes(&self, to: Option<PeerKey>, attempt: AttemptId, offset: u64, bytes: &[u8]) {
+    fn send_chunk(&self, to: Option<PeerKey>, attempt: AttemptId, offset: u64, bytes: &[u8]) {
         let chunk = Body::Chunk(wire::Chunk {
             request: convert::request_bytes(attempt.request),
             attempt: attempt.number,
@@ -313,7 +313,7 @@
             return;
         };
         active.end = Some((now, result));
-        let end = end_of(active, result);
+        let end = completion(active, result);
         let (peer, key, sent) = (active.peer, active.key.clone(), active.sent);
         let keep = active.unsafe_repeat;
         self.gate.finish(now, attempt, key.as_ref(), end);
@@ -324,7 +324,7 @@
             }
             Err(failure) => {
                 if failure.reason == Refusal::EngineAway {
-                    self.away = Some(now);
+                    self.unreachable_since = Some(now);
                     // What refuses connections has ended, and its next life said nothing yet.
                     self.notices = Notices::default();
                 }
@@ -338,7 +338,7 @@
             self.active.remove(&attempt);
         }
         self.metrics.in_flight.set(self.gate.running() as i64);
-        self.report_if_leaving();
+        self.check_drained_if_leaving();
     }
 
     /// Stops an attempt that nobody wants. One with a key runs on, so that
@@ -361,7 +361,7 @@
         if state == AttemptState::Blocked {
             return;
         }
-        let Some(active) = self.active.get_mut(&attempt).filter(|it| it.whole) else {
+        let Some(active) = self.active.get_mut(&attempt).filter(|it| it.complete) else {
             let failure = Failure { reason: Refusal::KeyAnswerLost, ran: Ran::Ran };
             self.send(Some(peer), convert::failed(attempt, failure));
             return;
@@ -370,7 +370,7 @@
         let (head, kept, end) = (active.head.clone(), active.kept.clone(), active.end);
         if let Some((status, content_type)) = head {
             self.send(Some(peer), head_body(attempt, status, &content_type, false));
-            self.send_bytes(Some(peer), attempt, 0, &kept);
+            self.send_chunk(Some(peer), attempt, 0, &kept);
         }
         match end {
             None => {}
@@ -387,13 +387,13 @@
         if let Some(group) = &mut self.group {
             group.down(peer);
         }
-        let there: Vec<AttemptId> = self
+        let affected: Vec<AttemptId> = self
             .active
             .iter()
             .filter(|(_, it)| it.peer == Some(peer))
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in there {
+        for attempt in affected {
             let Some(active) = self.active.get_mut(&attempt) else {
                 continue;
             };
@@ -406,10 +406,10 @@
 }
 
 /// How an attempt ended, for the gate: a kept answer must be whole.
-fn end_of(active: &Active, result: Result<(), Failure>) -> Completion {
+fn completion(active: &Active, result: Result<(), Failure>) -> Completion {
     match (result, &active.head) {
         (Err(Failure { ran: Ran::NotRun, .. }), _) => Completion::NotRun,
-        (Ok(()), Some((status, content_type))) if active.whole => Completion::Complete(Answer {
+        (Ok(()), Some((status, content_type))) if active.complete => Completion::Complete(Answer {
             status: *status,
             content_type: content_type.clone(),
             body: active.kept.clone(),
--- a/crates/sablepass-agent/src/leaving.rs
+++ b/crates/sablepass-agent/src/leaving.rs
@@ -16,33 +16,33 @@
 use crate::target::Load;
 
 /// How long the answer of a request that must not repeat is kept after its end.
-const KEEP_ENDED: Millis = 60_000;
+const ENDED_RETENTION: Millis = 60_000;
 /// Ended answers kept at once.
-const KEEP_COUNT: usize = 256;
+const MAX_ENDED: usize = 256;
 /// Time between two looks at planned stops and old answers.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a plain service that refused a connection is left alone.
-const AWAY: Millis = 1_000;
+const UNREACHABLE_BACKOFF: Millis = 1_000;
 /// How long a drained agent stays, so that its last frames are sent.
-const LINGER: Duration = Duration::from_millis(300);
+const DRAINED_LINGER: Duration = Duration::from_millis(300);
 
 impl Keeper {
     /// Takes a reading of the engine's load.
     pub fn load(&mut self, _cx: CX![], it: Load) {
         self.load = Some(it);
         // An engine that answers is back.
-        if self.away.is_some_and(|since| it.at > since) {
-            self.away = None;
+        if self.unreachable_since.is_some_and(|since| it.at > since) {
+            self.unreachable_since = None;
             self.report();
         }
     }
 
-    pub(crate) fn beat(&mut self, cx: CX![]) {
+    pub(crate) fn send_heartbeat(&mut self, cx: CX![]) {
         self.report();
         let (attempts, keys) = self.gate.once_table_len();
         self.metrics.once.with_label_values(&["attempts"]).set(attempts as i64);
         self.metrics.once.with_label_values(&["keys"]).set(keys as i64);
-        after!(Duration::from_millis(self.settings.heartbeat), [cx], beat());
+        after!(Duration::from_millis(self.settings.heartbeat), [cx], send_heartbeat());
     }
 
     pub(crate) fn report(&self) {
@@ -57,15 +57,15 @@
             engine_load,
             load_age,
             leaving: self.gate.leaving(),
-            away: self.away.is_some(),
+            away: self.unreachable_since.is_some(),
             pace: 0,
             size: 0,
             lag: 0,
             entries: self.entries.count(),
             group: 0,
             stands: false,
-            refuses: self.away.is_some(),
-            rest: self.notices.rest(now),
+            refuses: self.unreachable_since.is_some(),
+            rest: self.notices.remaining_pause(now),
             limit: self.notices.limit().map(Rate::per_second),
         });
         for peer in self.entries.peers() {
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(crate) fn report_if_leaving(&mut self) {
+    pub(crate) fn check_drained_if_leaving(&mut self) {
         if self.gate.leaving() {
             self.check_drained();
         }
@@ -105,27 +105,29 @@
             self.leave("planned stop");
         }
         // A plain service cannot be asked: it is tried again after a while.
-        if !self.target.engine() && self.away.is_some_and(|since| now >= since + AWAY) {
-            self.away = None;
+        if !self.target.is_engine()
+            && self.unreachable_since.is_some_and(|since| now >= since + UNREACHABLE_BACKOFF)
+        {
+            self.unreachable_since = None;
             self.report();
         }
-        self.forget(now);
+        self.drop_ended(now);
         if let Some(group) = &mut self.group {
             let sends = group.tick(now);
             self.send_all(sends);
         }
         if self.stopping && self.drained {
-            after!(LINGER, [cx], |_, cx| stakker::stop!(cx));
+            after!(DRAINED_LINGER, [cx], |_, cx| stakker::stop!(cx));
             self.stopping = false;
         }
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
     }
 
-    pub(crate) fn forget(&mut self, now: Millis) {
+    pub(crate) fn drop_ended(&mut self, now: Millis) {
         while let Some(attempt) = self.ended.front() {
             let end = self.active.get(attempt).and_then(|it| it.end);
-            let old = end.is_none_or(|(at, _)| now >= at + KEEP_ENDED);
-            if !old && self.ended.len() <= KEEP_COUNT {
+            let old = end.is_none_or(|(at, _)| now >= at + ENDED_RETENTION);
+            if !old && self.ended.len() <= MAX_ENDED {
                 break;
             }
             self.active.remove(attempt);
--- a/crates/sablepass-agent/src/main.rs
+++ b/crates/sablepass-agent/src/main.rs
@@ -62,8 +62,8 @@
         println!("{}", serde_json::json!({ "peers": peers, "admin": admin }));
         slog::info!(log, "started"; "target" => %target, "peers" => %peers, "admin" => %admin);
         let engine = actor_new!(s, Engine, ret_shutdown!(s));
-        let heard = fwd_to!([actor], heard() as ((Call, CallResult)));
-        call!([engine], Engine::init(target, heard));
+        let results = fwd_to!([actor], on_call_result() as ((Call, CallResult)));
+        call!([engine], Engine::init(target, results));
         call!([actor], Observer::init(settings, target, log, metrics, mesh, engine));
         Ok((actor, signals, operators))
     })
@@ -78,7 +78,7 @@
         let (loads, loads_guard) = Channel::new(s, fwd_to!([actor], load() as (target::Load)));
         let queries = fwd_to!([actor], query() as (admin::Query));
         let (engine, engine_guard) =
-            Channel::new(s, fwd_to!([actor], engine() as (orders::EngineEvent)));
+            Channel::new(s, fwd_to!([actor], engine_event() as (orders::EngineEvent)));
         let signals = runtime::signals(s, fwd_to!([actor], signal() as (runtime::Signal)))?;
         let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peers);
         let me = base.me.incarnation;
--- a/crates/sablepass-agent/src/member.rs
+++ b/crates/sablepass-agent/src/member.rs
@@ -17,7 +17,7 @@
 use crate::orders::{EngineEvent, Orders};
 
 impl Keeper {
-    pub(crate) fn declare_group(&mut self, it: &Catalogue) {
+    pub(crate) fn set_group(&mut self, it: &Catalogue) {
         let name = &self.settings.node.name;
         let short = name.rsplit('/').next().unwrap_or(name);
         let owner = name.split('/').next().unwrap_or(name);
@@ -28,7 +28,7 @@
             self.group = None;
             return;
         };
-        if self.group.as_ref().is_some_and(|it| it.is(declared)) {
+        if self.group.as_ref().is_some_and(|it| it.has_declaration(declared)) {
             return;
         }
         let checks = it.targets.get(name).is_some_and(|it| it.resource.checks_fence);
@@ -50,26 +50,26 @@
         }
     }
 
-    pub(crate) fn agent_up(&mut self, peer: PeerKey, name: String) {
+    pub(crate) fn on_agent_connected(&mut self, peer: PeerKey, name: String) {
         if let Some(group) = &mut self.group {
             group.up(&name, peer);
         }
         self.agents.insert(peer, name);
     }
 
-    pub(crate) fn ballot(&mut self, peer: PeerKey, it: &wire::Ballot) {
+    pub(crate) fn on_ballot(&mut self, peer: PeerKey, it: &wire::Ballot) {
         let Some(group) = self.group.as_mut().filter(|group| group.name() == it.group) else {
             self.metrics.ignored(Ignored::OldBallot);
             return;
         };
-        let sends = group.ballot(clock::now(), peer, it);
+        let sends = group.on_ballot(clock::now(), peer, it);
         self.send_all(sends);
     }
 
     /// Takes what the engine said about the group.
-    pub fn engine(&mut self, _cx: CX![], it: EngineEvent) {
+    pub fn engine_event(&mut self, _cx: CX![], event: EngineEvent) {
         let Some(group) = &mut self.group else { return };
-        let sends = group.heard(clock::now(), it);
+        let sends = group.on_engine_event(clock::now(), event);
         self.send_all(sends);
     }
 
--- a/crates/sablepass-agent/src/memory.rs
+++ b/crates/sablepass-agent/src/memory.rs
@@ -13,13 +13,13 @@
 
 /// The memory.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct SuspectCache {
     suspects: Suspects,
 }
 
-impl Memory {
+impl SuspectCache {
     /// Takes what an entry tells.
-    pub fn take(&mut self, now: Millis, it: wire::Suspects) -> Result<(), Error> {
+    pub fn update(&mut self, now: Millis, it: wire::Suspects) -> Result<(), Error> {
         let told = Told::parse(it)?;
         for (request, death) in told.deaths {
             self.suspects.record(now, request, death);
@@ -31,7 +31,7 @@
     }
 
     /// What an entry is told that has just connected, if there is anything.
-    pub fn recall(&self, now: Millis) -> Option<Body> {
+    pub fn message(&self, now: Millis) -> Option<Body> {
         let held = self.suspects.blocked(now).map(|(it, death)| (it, death.clone()));
         let told = Told { deaths: held.collect(), sound: Vec::new() };
         (!told.is_empty()).then(|| told.body())
--- a/crates/sablepass-agent/src/notices.rs
+++ b/crates/sablepass-agent/src/notices.rs
@@ -11,13 +11,13 @@
 use sablepass_platform::answer::Limit;
 
 use crate::keeper::Keeper;
-use crate::run::Said;
+use crate::run::TargetNotice;
 
 /// What it said.
 #[derive(Debug)]
 pub(crate) struct Notices {
     /// Until when it wants nothing: the latest end that it named.
-    rests: Millis,
+    paused_until: Millis,
     limit: Option<limits::Limit>,
     /// What may be sent under the limit.
     bucket: Bucket,
@@ -25,14 +25,14 @@
 
 impl Default for Notices {
     fn default() -> Self {
-        Self { rests: 0, limit: None, bucket: Bucket::for_agent() }
+        Self { paused_until: 0, limit: None, bucket: Bucket::for_agent() }
     }
 }
 
 impl Notices {
     /// Whether it takes one more request now. All that run go through this agent.
-    pub(crate) fn take(&mut self, now: Millis) -> Result<(), Refusal> {
-        if now < self.rests {
+    pub(crate) fn admit(&mut self, now: Millis) -> Result<(), Refusal> {
+        if now < self.paused_until {
             return Err(Refusal::TargetRests);
         }
         if self.limit.is_some() && !self.bucket.take(now) {
@@ -42,8 +42,8 @@
     }
 
     /// How much longer it rests.
-    pub(crate) fn rest(&self, now: Millis) -> Millis {
-        self.rests.saturating_sub(now)
+    pub(crate) fn remaining_pause(&self, now: Millis) -> Millis {
+        self.paused_until.saturating_sub(now)
     }
 
     /// What it takes a second, if it names a limit.
@@ -52,7 +52,7 @@
     }
 
     /// Takes an answer that names a limit, or none. What changed.
-    fn answered(&mut self, now: Millis, sent: Millis, named: Option<Rate>) -> Change {
+    fn on_answer(&mut self, now: Millis, sent: Millis, named: Option<Rate>) -> Change {
         let before = self.limit();
         let change = match (&mut self.limit, named) {
             (Some(limit), _) => limit.answered(now, sent, named),
@@ -74,10 +74,10 @@
 
 impl Keeper {
     /// Takes what the target says of itself with an answer, and tells the entries what is new.
-    pub(crate) fn said(&mut self, attempt: AttemptId, it: Said) {
+    pub(crate) fn on_notice(&mut self, attempt: AttemptId, it: TargetNotice) {
         let now = clock::now();
-        if let Some(asked) = it.rest {
-            self.rest(now, attempt, asked);
+        if let Some(pause) = it.pause {
+            self.pause_target(now, attempt, pause);
         }
         let named = match it.limit {
             Limit::Of(rate) => Some(rate),
@@ -87,7 +87,7 @@
                 return;
             }
         };
-        match self.notices.answered(now, it.sent, named) {
+        match self.notices.on_answer(now, it.sent, named) {
             Change::None => return,
             Change::Set(rate) => slog::info!(self.log, "limit holds"; "limit" => rate.per_second(),
                 "request" => %attempt.request, "attempt" => attempt.number),
@@ -98,10 +98,10 @@
     }
 
     /// Leaves the target alone for as long as it asked, and tells the entries.
-    fn rest(&mut self, now: Millis, attempt: AttemptId, asked: Millis) {
+    fn pause_target(&mut self, now: Millis, attempt: AttemptId, pause: Millis) {
         slog::info!(self.log, "target rests"; "request" => %attempt.request,
-            "attempt" => attempt.number, "rest" => asked, "begins" => now >= self.notices.rests);
-        self.notices.rests = self.notices.rests.max(now.saturating_add(asked));
+            "attempt" => attempt.number, "rest" => pause, "begins" => now >= self.notices.paused_until);
+        self.notices.paused_until = self.notices.paused_until.max(now.saturating_add(pause));
         self.report();
     }
 }
--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -32,18 +32,18 @@
 
 use crate::engine::{Call, CallResult, Engine};
 use crate::listeners::Listeners;
-use crate::memory::Memory;
+use crate::memory::SuspectCache;
 use crate::ranks::{Action, Ranks};
 use crate::settings::Settings;
 
 /// Time between two looks at a group that is about to switch.
-const PULSE: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Pulses between two readings of the counts, in which shifts of demand show.
-const COUNT_PULSES: u64 = 4;
+const POLLS_PER_COUNTS: u64 = 4;
 
 /// Parts in which a lag that changes is told at once, and those that are told.
-const TENTHS: f64 = 10.0;
-const THOUSANDTHS: f64 = 1_000.0;
+const LAG_STATE_SCALE: f64 = 10.0;
+const LAG_REPORT_SCALE: f64 = 1_000.0;
 
 /// The last reading.
 struct Reading {
@@ -60,11 +60,11 @@
     mesh: ActorOwn<Mesh>,
     engine: ActorOwn<Engine>,
     entries: Listeners,
-    memory: Memory,
+    suspects: SuspectCache,
     reading: Option<Reading>,
     steps: Steps,
     /// The target answered the last time.
-    good: bool,
+    answering: bool,
     /// It refused the last connection.
     refuses: bool,
     /// The limit that it last named.
@@ -75,12 +75,12 @@
     instances: Rc<BTreeMap<String, Instance>>,
     /// The service that the target answers for, once it is listed.
     service: String,
-    pulses: u64,
-    sleep: clock::Sleep,
+    polls: u64,
+    suspension: clock::Sleep,
     /// When the entries were last told the load.
-    told: Millis,
+    reported_at: Millis,
     /// What they were told of the rank.
-    told_state: State,
+    reported_state: State,
 }
 
 /// How a rank stands, for those that choose targets.
@@ -122,22 +122,22 @@
             mesh,
             engine,
             entries: Listeners::default(),
-            memory: Memory::default(),
+            suspects: SuspectCache::default(),
             reading: None,
             steps: Steps::default(),
-            good: false,
+            answering: false,
             refuses: false,
             limit: Limit::None,
             ranks,
             bounds: BTreeMap::new(),
             instances: Rc::default(),
             service: String::new(),
-            pulses: 0,
-            sleep: clock::Sleep::default(),
-            told: 0,
-            told_state: State::default(),
+            polls: 0,
+            suspension: clock::Sleep::default(),
+            reported_at: 0,
+            reported_state: State::default(),
         };
-        observer.pulse(cx);
+        observer.poll(cx);
         Some(observer)
     }
 
@@ -150,7 +150,7 @@
                 if it.dialled.is_none() {
                     slog::info!(self.log, "entry up"; "entry" => &it.name);
                     self.entries.up(peer, it.name);
-                    if let Some(held) = self.memory.recall(clock::now()) {
+                    if let Some(held) = self.suspects.message(clock::now()) {
                         call!([self.mesh], send(peer, held));
                     }
                 }
@@ -164,9 +164,9 @@
                 self.entries.down(peer);
                 self.ranks.down(peer);
             }
-            mesh::Event::Message(_, Body::Bounds(it)) => self.take_bounds(it),
+            mesh::Event::Message(_, Body::Bounds(it)) => self.on_bounds(it),
             mesh::Event::Message(_, Body::Suspects(it)) => {
-                if self.memory.take(clock::now(), it).is_err() {
+                if self.suspects.update(clock::now(), it).is_err() {
                     self.metrics.ignored(Ignored::BadFrame);
                 }
             }
@@ -176,7 +176,7 @@
             }
             mesh::Event::Instances(it) => {
                 self.instances = it.instances;
-                self.meet_group();
+                self.join_group();
             }
             // Entries tell what is needed of the configuration.
             mesh::Event::Config(_) | mesh::Event::Entries(_) => {}
@@ -185,7 +185,7 @@
 
     /// Takes what an entry told of a service, unless another one told it by a
     /// later configuration.
-    fn take_bounds(&mut self, it: wire::Bounds) {
+    fn on_bounds(&mut self, it: wire::Bounds) {
         let told = match convert::parse_bounds(&it) {
             Ok(told) => told,
             Err(e) => {
@@ -204,12 +204,12 @@
                 "era" => it.era, "revision" => it.revision, "bounds" => ?told);
         }
         self.bounds.insert(it.service, (revision, told));
-        self.meet_group();
+        self.join_group();
     }
 
     /// Declares the group that the target is a rank of, and connects to its
     /// agents. Bounds and list come in either order.
-    fn meet_group(&mut self) {
+    fn join_group(&mut self) {
         let instances = self.instances.clone();
         let targets = || instances.values().filter(|it| it.role == Role::Target);
         let Some(mine) = targets().find(|it| it.addr == self.target) else { return };
@@ -231,7 +231,7 @@
     fn carry_out(&self, list: Vec<Action>) {
         for it in list {
             match it {
-                Action::Call(ask) => call!([self.engine], ask(ask)),
+                Action::Call(call) => call!([self.engine], enqueue(call)),
                 Action::Send(peer, body) => call!([self.mesh], send(peer, body)),
             }
         }
@@ -239,69 +239,71 @@
 
     // The target.
 
-    fn pulse(&mut self, cx: CX![]) {
+    fn poll(&mut self, cx: CX![]) {
         let now = clock::now();
-        self.pulses += 1;
-        if let Some(slept) = self.sleep.look(now) {
-            self.wake(slept);
+        self.polls += 1;
+        if let Some(suspended_for) = self.suspension.look(now) {
+            self.on_resume(suspended_for);
         }
-        let count = self.pulses.is_multiple_of(COUNT_PULSES);
+        let count = self.polls.is_multiple_of(POLLS_PER_COUNTS);
         let active = self.ranks.is_active();
-        let due = now >= self.told + self.settings.heartbeat;
+        let due = now >= self.reported_at + self.settings.heartbeat;
         if due || self.ranks.is_busy() || (active && count) {
-            call!([self.engine], ask(Call::Report));
+            call!([self.engine], enqueue(Call::Report));
         }
         if active && count && self.reading.is_some() {
             if self.ranks.needs_counts() {
-                call!([self.engine], ask(Call::Counts));
+                call!([self.engine], enqueue(Call::Counts));
             }
             let list = self.ranks.tick(now);
             self.carry_out(list);
-            self.tell_changes(now);
+            self.report_if_due(now);
         }
-        after!(PULSE, [cx], pulse());
+        after!(POLL_INTERVAL, [cx], poll());
     }
 
     /// What was read before this process slept says nothing any more: nothing is
     /// told or ordered by it.
-    fn wake(&mut self, slept: Millis) {
-        slog::warn!(self.log, "slept"; "for" => slept);
+    fn on_resume(&mut self, suspended_for: Millis) {
+        slog::warn!(self.log, "slept"; "for" => suspended_for);
         self.metrics.sleeps.inc();
         self.reading = None;
-        call!([self.engine], ask(Call::Report));
+        call!([self.engine], enqueue(Call::Report));
     }
 
     /// Takes the end of a call to the target.
-    pub fn heard(&mut self, _cx: CX![], (ask, heard): (Call, CallResult)) {
+    pub fn on_call_result(&mut self, _cx: CX![], (call, result): (Call, CallResult)) {
         let now = clock::now();
-        if let Ok(it) = &heard {
-            self.names_limit(answer::limit(&it.fields));
+        if let Ok(it) = &result {
+            self.on_limit(answer::limit(&it.fields));
         }
-        match (&ask, &heard) {
+        match (&call, &result) {
             (Call::Report, Ok(Answer { status: 200, body, .. })) => match engine::report(body) {
-                Ok(it) => self.report(now, it),
-                Err(e) => self.lost(now, &e.to_string(), false),
+                Ok(it) => self.on_report(now, it),
+                Err(e) => self.read_failed(now, &e.to_string(), false),
             },
-            (Call::Report, Ok(it)) => self.lost(now, &format!("status {}", it.status), false),
-            (Call::Report, Err(e)) => self.lost(now, &e.to_string(), e.is_refused()),
+            (Call::Report, Ok(it)) => {
+                self.read_failed(now, &format!("status {}", it.status), false)
+            }
+            (Call::Report, Err(e)) => self.read_failed(now, &e.to_string(), e.is_refused()),
             _ => {
-                let list = self.ranks.on_call_result(now, &ask, &heard);
+                let list = self.ranks.on_call_result(now, &call, &result);
                 self.carry_out(list);
             }
         }
     }
 
     /// Says when the target begins or ends to name a limit, or names another.
-    fn names_limit(&mut self, limit: Limit) {
+    fn on_limit(&mut self, limit: Limit) {
         if std::mem::replace(&mut self.limit, limit) != limit {
             slog::info!(self.log, "target names a limit"; "limit" => ?limit);
         }
     }
 
-    fn report(&mut self, now: Millis, report: engine::Report) {
+    fn on_report(&mut self, now: Millis, report: engine::Report) {
         self.refuses = false;
-        if !self.good {
-            self.good = true;
+        if !self.answering {
+            self.answering = true;
             slog::info!(self.log, "target regained"; "target" => %self.target);
         }
         let before = self.reading.as_ref().map(|it| it.report.born);
@@ -316,20 +318,20 @@
         self.carry_out(list);
         self.reading = Some(Reading { report, at: now });
         let state = self.state();
-        if state.pace != self.told_state.pace {
+        if state.pace != self.reported_state.pace {
             slog::info!(self.log, "pace changed"; "judged" => ?state.pace,
                 "pace" => self.group().map(|it| it.pace));
         }
-        self.tell_changes(now);
+        self.report_if_due(now);
     }
 
     /// Tells the entries, if it is time or something changed that matters to them.
-    fn tell_changes(&mut self, now: Millis) {
+    fn report_if_due(&mut self, now: Millis) {
         let state = self.state();
-        if now >= self.told + self.settings.heartbeat || state != self.told_state {
-            self.told = now;
-            self.told_state = state;
-            self.tell();
+        if now >= self.reported_at + self.settings.heartbeat || state != self.reported_state {
+            self.reported_at = now;
+            self.reported_state = state;
+            self.send_report();
         }
     }
 
@@ -342,28 +344,28 @@
             closed: self.group().is_some_and(|it| !it.open),
             stands: self.steps.is_stalled(clock::now()),
             pace: self.group().map_or(Pace::Sound, |it| Pace::of(it.pace)),
-            lag: self.lag(TENTHS),
+            lag: self.scaled_lag(LAG_STATE_SCALE),
             refuses: self.refuses,
         }
     }
 
     /// Lag of the group's map in such parts; 0 where this agent does not plan it.
-    fn lag(&self, parts: f64) -> u32 {
+    fn scaled_lag(&self, parts: f64) -> u32 {
         self.ranks.lag().map_or(0, |it| (it * parts).round() as u32)
     }
 
-    fn lost(&mut self, now: Millis, why: &str, refuses: bool) {
+    fn read_failed(&mut self, now: Millis, why: &str, refuses: bool) {
         let changed = std::mem::replace(&mut self.refuses, refuses) != refuses;
-        if self.good {
-            self.good = false;
+        if self.answering {
+            self.answering = false;
             slog::warn!(self.log, "target lost"; "target" => %self.target, "why" => why);
         }
         if changed {
-            self.tell_changes(now);
+            self.report_if_due(now);
         }
     }
 
-    fn tell(&self) {
+    fn send_report(&self) {
         let Some(it) = &self.reading else { return };
         let age = clock::now().saturating_sub(it.at);
         let load = it.report.running + it.report.waiting;
@@ -377,7 +379,7 @@
             away: self.state().closed,
             pace: convert::pace_number(self.state().pace),
             size: self.group().map_or(0, |it| it.size.into()),
-            lag: self.lag(THOUSANDTHS),
+            lag: self.scaled_lag(LAG_REPORT_SCALE),
             entries: self.entries.count(),
             stands: self.state().stands,
             refuses: self.refuses,
@@ -402,16 +404,16 @@
         });
         match query.ask {
             admin::Ask::Ready => {
-                let json = serde_json::json!({ "ready": self.good }).to_string();
-                let status = if self.good { 200 } else { 503 };
+                let json = serde_json::json!({ "ready": self.answering }).to_string();
+                let status = if self.answering { 200 } else { 503 };
                 query.reply.send(admin::Reply { status, json });
             }
             admin::Ask::Status => {
-                let (good, reply) = (self.good, query.reply);
+                let (answering, reply) = (self.answering, query.reply);
                 let ret = ret_some_do!(move |mesh: serde_json::Value| {
                     let mut status = mesh;
                     status["role"] = "agent".into();
-                    status["target_answers"] = good.into();
+                    status["target_answers"] = answering.into();
                     status["load"] = load.into();
                     reply.send(admin::Reply::ok(&status));
                 });
--- a/crates/sablepass-agent/src/orders.rs
+++ b/crates/sablepass-agent/src/orders.rs
@@ -23,7 +23,7 @@
 /// How long a reading may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// Wait before a failed reading is tried again.
-const AGAIN: Duration = Duration::from_millis(100);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What the threads are told.
 #[derive(Debug)]
@@ -57,41 +57,41 @@
 pub struct Orders {
     commands: mpsc::Sender<Command>,
     readings: mpsc::SyncSender<bool>,
-    map_asked: Arc<AtomicBool>,
+    map_pending: Arc<AtomicBool>,
 }
 
-struct Engine {
+struct EngineClient {
     agent: ureq::Agent,
     base: String,
     fence: u64,
-    to: Channel<EngineEvent>,
+    events: Channel<EngineEvent>,
 }
 
 impl Orders {
     /// Starts the threads. Orders carry `fence`, which grows from agent to agent.
-    pub fn spawn(base: &str, fence: u64, to: Channel<EngineEvent>) -> Self {
+    pub fn spawn(base: &str, fence: u64, events: Channel<EngineEvent>) -> Self {
         let base = base.trim_end_matches('/').to_owned();
-        let engine = || Engine {
+        let engine = || EngineClient {
             agent: ureq::Agent::new_with_defaults(),
             base: base.clone(),
             fence,
-            to: to.clone(),
+            events: events.clone(),
         };
-        let (commands, inbox) = mpsc::channel();
-        let map_asked = Arc::new(AtomicBool::new(false));
-        let (first, second, asked) = (engine(), engine(), map_asked.clone());
+        let (commands, command_rx) = mpsc::channel();
+        let map_pending = Arc::new(AtomicBool::new(false));
+        let (first, second, pending) = (engine(), engine(), map_pending.clone());
         std::thread::spawn(move || {
-            while let Ok(it) = inbox.recv() {
-                first.carry_out(it, &asked);
+            while let Ok(it) = command_rx.recv() {
+                first.carry_out(it, &pending);
             }
         });
-        let (readings, due) = mpsc::sync_channel(1);
+        let (readings, reading_rx) = mpsc::sync_channel(1);
         std::thread::spawn(move || {
-            while let Ok(counts) = due.recv() {
+            while let Ok(counts) = reading_rx.recv() {
                 second.read(counts);
             }
         });
-        Self { commands, readings, map_asked }
+        Self { commands, readings, map_pending }
     }
 
     /// Gives a command.
@@ -102,7 +102,7 @@
 
     /// Asks for the map, unless that is under way.
     pub fn send_once(&self, it: Command) {
-        if !self.map_asked.swap(true, Ordering::Relaxed) {
+        if !self.map_pending.swap(true, Ordering::Relaxed) {
             self.send(it);
         }
     }
@@ -114,7 +114,7 @@
     }
 }
 
-impl Engine {
+impl EngineClient {
     fn get<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
         let url = format!("{}{path}", self.base);
         let request = self.agent.get(url).config().timeout_global(Some(READ_TIMEOUT)).build();
@@ -124,30 +124,30 @@
 
     fn read(&self, counts: bool) {
         if let Some(it) = self.get("/state") {
-            self.to.send(EngineEvent::Register(it));
+            self.events.send(EngineEvent::Register(it));
         }
         if counts && let Some(Counts { step, tokens }) = self.get("/experts") {
-            self.to.send(EngineEvent::Counts(step, tokens));
+            self.events.send(EngineEvent::Counts(step, tokens));
         }
     }
 
-    fn carry_out(&self, it: Command, map_asked: &AtomicBool) {
+    fn carry_out(&self, it: Command, map_pending: &AtomicBool) {
         match it {
             Command::Order(order, map) => {
                 self.order(order, &map);
-                while !self.to.is_closed() {
+                while !self.events.is_closed() {
                     if let Some(it) = self.get("/state") {
-                        self.to.send(EngineEvent::Done(it));
+                        self.events.send(EngineEvent::Done(it));
                         return;
                     }
-                    std::thread::sleep(AGAIN);
+                    std::thread::sleep(READ_RETRY_DELAY);
                 }
             }
             Command::Map => {
                 if let Some(it) = self.get("/map") {
-                    self.to.send(EngineEvent::Map(it));
+                    self.events.send(EngineEvent::Map(it));
                 }
-                map_asked.store(false, Ordering::Relaxed);
+                map_pending.store(false, Ordering::Relaxed);
             }
         }
     }
--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -337,8 +337,8 @@
     }
 
     /// Takes the end of a call to the replica.
-    pub fn on_call_result(&mut self, now: Millis, ask: &Call, heard: &CallResult) -> Vec<Action> {
-        match (ask, heard) {
+    pub fn on_call_result(&mut self, now: Millis, call: &Call, result: &CallResult) -> Vec<Action> {
+        match (call, result) {
             (Call::Order(_), it) => {
                 let done = match it {
                     Ok(it) => order_outcome(it.status),
--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -176,8 +176,8 @@
         vec![Action::Call(Call::Prepare(body))]
     }
 
-    pub(super) fn on_prepare_result(&mut self, heard: &CallResult) -> Vec<Action> {
-        let done = match heard {
+    pub(super) fn on_prepare_result(&mut self, result: &CallResult) -> Vec<Action> {
+        let done = match result {
             Ok(it) => order_outcome(it.status),
             Err(_) => Done::Unknown,
         };
--- a/crates/sablepass-agent/src/run.rs
+++ b/crates/sablepass-agent/src/run.rs
@@ -16,7 +16,7 @@
 use stakker::sync::Channel;
 
 /// Bytes read from the target at once.
-const READ_SIZE: usize = 8 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
 /// What to run.
 #[derive(Debug)]
@@ -52,11 +52,11 @@
 
 /// What a target says of itself with an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
+pub struct TargetNotice {
     /// When the request was sent.
     pub sent: Millis,
     /// How long the target wants nothing more.
-    pub rest: Option<Millis>,
+    pub pause: Option<Millis>,
     /// What it takes from all entries together.
     pub limit: Limit,
 }
@@ -71,7 +71,7 @@
         /// Content type.
         content_type: String,
         /// What the target says of itself.
-        said: Said,
+        notice: TargetNotice,
     },
     /// Bytes.
     Bytes(Vec<u8>),
@@ -82,7 +82,7 @@
 }
 
 /// The name by which the target knows an attempt.
-pub fn target_id(it: AttemptId) -> String {
+pub fn target_request_id(it: AttemptId) -> String {
     format!("{}-{}", it.request, it.number)
 }
 
@@ -91,16 +91,16 @@
     agent: &ureq::Agent,
     base: &str,
     engine: bool,
-    read: Duration,
+    read_timeout: Duration,
     job: Job,
     parts: &Channel<Part>,
 ) {
     let attempt = job.attempt;
     let send = |content| parts.send(Part { attempt, content });
-    let response = match call(agent, base, engine, read, job.body.as_slice(), &job) {
+    let response = match call(agent, base, engine, read_timeout, job.body.as_slice(), &job) {
         Ok(it) => it,
         Err(e) => {
-            send(Content::Failed(failure(&e)));
+            send(Content::Failed(classify_error(&e)));
             return;
         }
     };
@@ -112,9 +112,9 @@
         .to_owned();
     let (head, body) = response.into_parts();
     let status = u32::from(head.status.as_u16());
-    let said = said(&job, head);
-    send(Content::Head { status, content_type, said });
-    let end = copy(body.into_reader(), &job.cancelled, |bytes| {
+    let notice = decode_notice(&job, head);
+    send(Content::Head { status, content_type, notice });
+    let end = stream_body(body.into_reader(), &job.cancelled, |bytes| {
         send(Content::Bytes(bytes));
     });
     send(end);
@@ -124,14 +124,14 @@
     agent: &ureq::Agent,
     base: &str,
     engine: bool,
-    read: Duration,
+    read_timeout: Duration,
     body: &[u8],
     job: &Job,
 ) -> Result<ureq::http::Response<ureq::Body>, ureq::Error> {
     let mut request = ureq::http::Request::builder()
         .method(job.method.as_str())
         .uri(format!("{base}{}", job.path))
-        .header("x-request-id", target_id(job.attempt))
+        .header("x-request-id", target_request_id(job.attempt))
         .header("x-customer", &job.customer);
     if !job.content_type.is_empty() {
         request = request.header("content-type", &job.content_type);
@@ -142,41 +142,45 @@
     let request = request.body(body)?;
     let request = agent
         .configure_request(request)
-        .timeout_recv_response(Some(read))
-        .timeout_per_read(Some(read))
+        .timeout_recv_response(Some(read_timeout))
+        .timeout_per_read(Some(read_timeout))
         .allow_non_standard_methods(true)
         .build();
     agent.run(request)
 }
 
-fn said(job: &Job, head: ureq::http::response::Parts) -> Said {
+fn decode_notice(job: &Job, head: ureq::http::response::Parts) -> TargetNotice {
     let meta = answer::decode(clock::now(), &ureq::http::Response::from_parts(head, ()));
-    let rest = match meta.rest {
+    let pause = match meta.rest {
         Rest::For(it) => Some(it),
         Rest::None | Rest::Unread => None,
     };
-    Said { sent: job.sent, rest, limit: meta.limit }
+    TargetNotice { sent: job.sent, pause, limit: meta.limit }
 }
 
-fn copy(mut from: impl Read, cancelled: &AtomicBool, mut to: impl FnMut(Vec<u8>)) -> Content {
-    let broke = |reason| Content::Failed(Failure { reason, ran: Ran::Ran });
-    let mut buffer = vec![0; READ_SIZE];
+fn stream_body(
+    mut from: impl Read,
+    cancelled: &AtomicBool,
+    mut to: impl FnMut(Vec<u8>),
+) -> Content {
+    let failed = |reason| Content::Failed(Failure { reason, ran: Ran::Ran });
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         if cancelled.load(Ordering::Relaxed) {
             // Dropping the reader closes the connection, which stops the engine.
-            return broke(Refusal::CallerGone);
+            return failed(Refusal::CallerGone);
         }
         match from.read(&mut buffer) {
             Ok(0) => return Content::End,
             Ok(length) => to(buffer[..length].to_vec()),
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-            Err(_) => return broke(Refusal::EngineBroke),
+            Err(_) => return failed(Refusal::EngineBroke),
         }
     }
 }
 
 /// Only a connection that was never made proves that nothing ran.
-fn failure(e: &ureq::Error) -> Failure {
+fn classify_error(e: &ureq::Error) -> Failure {
     let never_sent = match e {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
--- a/crates/sablepass-agent/src/target.rs
+++ b/crates/sablepass-agent/src/target.rs
@@ -16,14 +16,14 @@
 use crate::settings::Settings;
 
 /// Time between two readings of an engine's load.
-const LOAD_EVERY: Duration = Duration::from_millis(500);
+const LOAD_INTERVAL: Duration = Duration::from_millis(500);
 /// How long connecting to the target, or a reading of its load, may take.
-const SHORT: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Buffers of one call, each way. The library's own are sixteen times as large
 /// and made a run cost 300 KB.
-const BUFFER: usize = 8 * 1024;
+const BUFFER_BYTES: usize = 8 * 1024;
 /// Stack of a run's thread.
-const STACK: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 
 /// The engine's own account of its load.
 #[derive(Clone, Copy, Debug)]
@@ -53,25 +53,25 @@
     /// Opens the handle and, for an engine, starts to read its load.
     pub fn open(settings: &Settings, loads: Channel<Load>) -> Self {
         let config = ureq::Agent::config_builder()
-            .timeout_connect(Some(SHORT))
+            .timeout_connect(Some(CONTROL_TIMEOUT))
             .http_status_as_error(false)
-            .input_buffer_size(BUFFER)
-            .output_buffer_size(BUFFER)
+            .input_buffer_size(BUFFER_BYTES)
+            .output_buffer_size(BUFFER_BYTES)
             .max_idle_connections_per_host(settings.limit)
             .build();
         let agent: ureq::Agent = config.into();
         let base: Arc<str> = settings.target.trim_end_matches('/').into();
-        let (cancels, inbox) = mpsc::channel();
+        let (cancels, cancel_rx) = mpsc::channel();
         if settings.engine {
-            spawn_loads(agent.clone(), base.clone(), loads);
-            spawn_cancels(agent.clone(), base.clone(), inbox);
+            spawn_load_reader(agent.clone(), base.clone(), loads);
+            spawn_canceller(agent.clone(), base.clone(), cancel_rx);
         }
         let read = Duration::from_millis(settings.read);
         Self { agent, base, engine: settings.engine, read, cancels }
     }
 
     /// Whether it is a model engine.
-    pub fn engine(&self) -> bool {
+    pub fn is_engine(&self) -> bool {
         self.engine
     }
 
@@ -89,34 +89,35 @@
         let (agent, base, engine, read) =
             (self.agent.clone(), self.base.clone(), self.engine, self.read);
         let work = move || run::run(&agent, &base, engine, read, job, &parts);
-        std::thread::Builder::new().stack_size(STACK).spawn(work).is_ok()
+        std::thread::Builder::new().stack_size(STACK_BYTES).spawn(work).is_ok()
     }
 }
 
-fn spawn_loads(agent: ureq::Agent, base: Arc<str>, loads: Channel<Load>) {
+fn spawn_load_reader(agent: ureq::Agent, base: Arc<str>, loads: Channel<Load>) {
     std::thread::spawn(move || {
         while !loads.is_closed() {
             if let Some(it) = read_load(&agent, &base) {
                 loads.send(Load { requests: it.running + it.waiting, at: clock::now() });
             }
-            std::thread::sleep(LOAD_EVERY);
+            std::thread::sleep(LOAD_INTERVAL);
         }
     });
 }
 
 fn read_load(agent: &ureq::Agent, base: &str) -> Option<LoadAnswer> {
-    let request = agent.get(format!("{base}/load")).config().timeout_global(Some(SHORT)).build();
+    let request =
+        agent.get(format!("{base}/load")).config().timeout_global(Some(CONTROL_TIMEOUT)).build();
     let text = request.call().ok()?.body_mut().read_to_string().ok()?;
     serde_json::from_str(&text).ok()
 }
 
-fn spawn_cancels(agent: ureq::Agent, base: Arc<str>, inbox: mpsc::Receiver<AttemptId>) {
+fn spawn_canceller(agent: ureq::Agent, base: Arc<str>, cancel_rx: mpsc::Receiver<AttemptId>) {
     std::thread::spawn(move || {
-        while let Ok(it) = inbox.recv() {
+        while let Ok(it) = cancel_rx.recv() {
             let url = format!("{base}/v1/cancel");
-            let request = agent.post(&url).config().timeout_global(Some(SHORT)).build();
+            let request = agent.post(&url).config().timeout_global(Some(CONTROL_TIMEOUT)).build();
             // The thread of the run also closes its connection; either is enough.
-            let _ = request.header("x-request-id", &run::target_id(it)).send_empty();
+            let _ = request.header("x-request-id", &run::target_request_id(it)).send_empty();
         }
     });
 }
