--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -280,12 +280,10 @@
         match (&call, &result) {
             (Call::Report, Ok(Answer { status: 200, body, .. })) => match engine::report(body) {
                 Ok(it) => self.on_report(now, it),
-                Err(e) => self.read_failed(now, &e.to_string(), false),
+                Err(e) => self.on_failure(now, &e.to_string(), false),
             },
-            (Call::Report, Ok(it)) => {
-                self.read_failed(now, &format!("status {}", it.status), false)
-            }
-            (Call::Report, Err(e)) => self.read_failed(now, &e.to_string(), e.is_refused()),
+            (Call::Report, Ok(it)) => self.on_failure(now, &format!("status {}", it.status), false),
+            (Call::Report, Err(e)) => self.on_failure(now, &e.to_string(), e.is_refused()),
             _ => {
                 let list = self.ranks.on_call_result(now, &call, &result);
                 self.carry_out(list);
@@ -354,7 +352,7 @@
         self.ranks.lag().map_or(0, |it| (it * parts).round() as u32)
     }
 
-    fn read_failed(&mut self, now: Millis, why: &str, refuses: bool) {
+    fn on_failure(&mut self, now: Millis, why: &str, refuses: bool) {
         let changed = std::mem::replace(&mut self.refuses, refuses) != refuses;
         if self.answering {
             self.answering = false;
