--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -1,14 +1,14 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! This agent's share of its group's expert map where the engines keep no
-//! vote: one member of the switch, and, beside rank 0, the planner.
+//! Expert map of a group whose engines keep no votes: this agent is one member of the switch
+//! protocol and, on rank 0, also the planner. The observer drives it.
 //!
-//! The planner is fixed: a switch takes every rank, so there is none without
-//! the first one anyway. It sums what all ranks' agents tell it, has a better
-//! map prepared where one is worth it, and proposes the step of the switch
-//! once all have prepared. Whatever it does, the switch itself is safe by the
-//! votes of [`sablepass_core::expert::barrier`].
+//! The planner is always on rank 0. A switch requires every rank, so none is possible while
+//! rank 0 is missing, and a failover would gain nothing. The planner sums the counts that the
+//! agents of the other ranks report, has all ranks prepare a better map if there is one, and
+//! proposes the step of the switch once all have prepared it. The safety of the switch does
+//! not depend on the planner, but on the votes of [`sablepass_core::expert::barrier`].
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,29 +38,29 @@
 mod tally;
 mod votes;
 
-/// Ticks between two tallies of a rank to the planner, and of the planner to all,
-/// beside those that tell of a change. At each tick they were 1,910 messages a
-/// second at the planner of 192 ranks; so they are 382.
+/// Interval, in ticks, of a rank's periodic tally to the planner and of the planner's tally to
+/// all ranks. Changes are reported at once. One tally per tick would be 1,910 messages per
+/// second at the planner of 192 ranks; every fifth tick makes 382.
 const REPORT_INTERVAL_TICKS: u64 = 5;
 
-/// Weight of a reading in the requests that a rank runs: some ten readings,
-/// which come every 25 to 100 ms.
+/// Weight of a reading in the moving average of running requests. The average covers about
+/// ten readings, which arrive every 25 to 100 ms.
 const RUNNING_EWMA_WEIGHT: f64 = 0.1;
 
-/// What is to be done.
+/// An action that the caller performs.
 #[derive(Debug)]
 pub enum Action {
-    /// Call the replica.
+    /// Make a call to the own replica.
     Call(Call),
-    /// Send to an agent.
+    /// Send a message to another agent.
     Send(PeerKey, Body),
 }
 
-/// What a rank last told.
+/// Status last reported by another rank.
 #[derive(Clone, Debug)]
 struct RankStatus {
     peer: PeerKey,
-    /// It is in the own hall.
+    /// Whether the rank runs in this agent's data hall.
     in_own_hall: bool,
     epoch: u64,
     received_at: Millis,
@@ -69,93 +69,94 @@
     prepared: u64,
     experts: Vec<Vec<u16>>,
     pace: f64,
-    /// An order to it went unanswered lately.
+    /// Whether its agent recently received no answer to an order.
     unanswered: bool,
 }
 
-/// How the planner is to be told the counts.
+/// The planner's request for this rank's counts.
 #[derive(Clone, Copy, Debug)]
 struct CountsRequest {
-    /// Choices of a layer that are drawn; none for all counts as they are.
+    /// Number of choices sampled per layer, or `None` to send the complete counts.
     draws: Option<u32>,
 }
 
-/// A map that the own rank is to prepare.
+/// A map that the own rank prepares.
 struct Preparation {
     version: u64,
     map: Map,
-    /// Orders given for it.
+    /// Number of prepare orders issued so far.
     orders: u32,
 }
 
-/// A map that ranks prepare.
+/// A map that the planner proposed and the ranks prepare.
 struct Proposed {
     version: u64,
-    /// When it is given up if not all of them have prepared it.
+    /// Time at which the proposal is dropped unless all ranks have prepared the map.
     deadline: Millis,
-    /// The switch to it was proposed.
+    /// Whether the switch to this map has been proposed.
     switching: bool,
-    /// The lag worked out for it.
+    /// Expected lag of the map.
     lag: f64,
 }
 
-/// The member, and the planner beside rank 0.
+/// The member of the switch protocol and, on rank 0, the planner.
 pub struct Ranks {
     log: Logger,
     metrics: Arc<Metrics>,
     bounds: Option<Bounds>,
-    /// None until the replica has told that it is a rank.
+    /// `None` until the replica has reported that it is a rank of a group.
     member: Option<Member>,
-    /// The size of a group that no member could be opened for.
-    refused: Option<u16>,
+    /// Size of a group that is too large for the switch protocol.
+    unsupported_size: Option<u16>,
     group: Option<Group>,
     fence: u64,
     ranks: BTreeMap<u16, RankStatus>,
-    /// The own hall.
+    /// The data hall of this agent.
     hall: String,
-    /// Mbit/s that the machine's link takes.
+    /// Bandwidth of the machine's network link, in Mbit/s.
     link_mbps: f64,
-    /// Connections to other agents, of whatever group, and their halls.
+    /// Connections to other agents, of any group, and their data halls.
     agents: BTreeMap<PeerKey, String>,
     lists: Option<Lists>,
-    /// How the planner is to be told the counts, if it is.
+    /// `None` while the planner does not request this rank's counts.
     counts_request: Option<CountsRequest>,
-    /// The own rank's counts, and the planner that was told them.
+    /// Counts last read from the own replica.
     counts: demand::Counts,
+    /// The planner that received the counts so far.
     counts_sent_to: Option<PeerKey>,
     demand: Option<Demand>,
-    /// What is in demand since the last shift.
+    /// Demand since its last shift.
     demand_monitor: DemandMonitor,
-    /// A map that was in force last, if it is known as a whole.
+    /// The latest map in force that is known completely; changes are encoded relative to it.
     base: Option<BaseMap>,
-    /// How even maps turn out, beside rank 0.
+    /// On rank 0: comparison of the lag of maps in force with the lag expected of them.
     calibration: LagCalibration,
-    /// Demand has shifted since the map in force came.
+    /// Whether demand has shifted since the map in force was made.
     outdated: bool,
-    /// The map being prepared at the own rank.
+    /// The map that the own rank prepares.
     preparation: Option<Preparation>,
     ticks: u64,
-    /// When an order last went unanswered.
+    /// Time of the latest order that received no answer.
     last_unanswered_at: Option<Millis>,
     proposed: Option<Proposed>,
-    /// After a search that found no better map.
+    /// Back-off after a search that found no better map.
     search_backoff: Option<SearchBackoff>,
-    /// Highest version known to be used up.
+    /// Highest version known to have been used.
     highest_version: u64,
-    /// What keeps the planner from planning, since when, and whether that was said.
+    /// Condition that prevents planning, its start, and whether it has been logged.
     obstacle: Option<(Obstacle, Millis, bool)>,
-    /// When the last step was seen to begin, and milliseconds of a pass.
+    /// Time at which the latest step was first read, and its number.
     last_step: Option<(Millis, u64)>,
+    /// Moving average of the duration of a pass, in milliseconds; 0 if unknown.
     pass_ms: f64,
-    /// Requests that the own rank runs, over some time.
+    /// Moving average of the requests that the own rank runs.
     mean_running: f64,
-    /// Lag of the map in force under what is in demand, beside rank 0.
+    /// On rank 0: lag of the map in force under the current demand.
     lag: Option<f64>,
 }
 
 impl Ranks {
-    /// Opens without knowledge, in a hall, behind a link of so many Mbit/s. Orders
-    /// carry fences above `fence`.
+    /// Creates the state of an agent in data hall `hall`. Orders carry fences above `fence`.
     pub fn new(
         log: Logger,
         metrics: Arc<Metrics>,
@@ -168,7 +169,7 @@
             metrics,
             bounds: None,
             member: None,
-            refused: None,
+            unsupported_size: None,
             group: None,
             fence,
             ranks: BTreeMap::new(),
@@ -198,17 +199,17 @@
         }
     }
 
-    /// Takes what is declared of the group's maps, if the target is a rank of one.
+    /// Sets the declared bounds of the group's maps, or `None` if this agent manages no map.
     pub fn set_bounds(&mut self, bounds: Option<Bounds>) {
         self.bounds = bounds;
     }
 
-    /// Whether the replica is a rank of a group whose maps are kept here.
+    /// Returns whether the replica is a rank of a group whose maps this agent manages.
     pub fn is_active(&self) -> bool {
         self.bounds.is_some() && self.group.is_some()
     }
 
-    /// Whether something is under way that wants frequent readings.
+    /// Returns whether a switch or a preparation is in progress, which requires frequent readings.
     pub fn is_busy(&self) -> bool {
         let switching = self.member.as_ref().is_some_and(|it| !it.is_free());
         let preparing = self.preparation.as_ref().is_some_and(|preparation| {
@@ -217,36 +218,35 @@
         self.is_active() && (switching || preparing)
     }
 
-    /// Whether the own rank's counts are of use: to the planner, here or
-    /// elsewhere.
+    /// Returns whether the planner, here or on another agent, uses the own rank's counts.
     pub fn needs_counts(&self) -> bool {
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0);
         self.is_active() && (planner || self.counts_request.is_some())
     }
 
-    /// Lag of the map in force under what is in demand, if this agent plans. That of
-    /// a group's first map is known before any counts are.
+    /// Returns the lag of the map in force under the current demand, if this agent is the planner.
+    /// For a group's first map it is [`rebalance::INITIAL_LAG`] until counts are available.
     pub fn lag(&self) -> Option<f64> {
         let group = self.group.as_ref().filter(|it| it.rank == 0 && it.open);
         let first = group.filter(|it| it.reading.version == 0).map(|_| rebalance::INITIAL_LAG);
         self.lag.filter(|_| self.is_active()).or(first)
     }
 
-    /// A connection to another agent came up.
+    /// Handles a new connection to another agent.
     pub fn up(&mut self, now: Millis, peer: PeerKey, hall: String) -> Vec<Action> {
         self.agents.insert(peer, hall);
         self.report_to(now, peer).into_iter().collect()
     }
 
-    /// A connection went down.
+    /// Handles the end of a connection.
     pub fn down(&mut self, peer: PeerKey) {
         self.ranks.retain(|_, it| it.peer != peer);
         self.agents.remove(&peer);
     }
 
-    // The own rank.
+    // Own rank.
 
-    /// Takes the replica's account of its group, and how many requests it runs.
+    /// Handles the replica's report: the state of its group and the number of running requests.
     pub fn on_report(&mut self, now: Millis, group: Option<Group>, running: u32) -> Vec<Action> {
         self.mean_running += RUNNING_EWMA_WEIGHT * (f64::from(running) - self.mean_running);
         let Some(group) = group.filter(|_| self.bounds.is_some()) else {
@@ -262,7 +262,7 @@
         }
         self.open_member(&group);
         let outputs = match &mut self.member {
-            // A group that is not complete takes no orders.
+            // The engines of an incomplete group accept no orders.
             Some(member) if group.open => member.on_reading(reading),
             _ => Vec::new(),
         };
@@ -284,7 +284,7 @@
             list.push(Action::Call(Call::Lists));
         }
         if !known {
-            // Whoever passes something on has to know which rank is where.
+            // Every agent forwards messages, so it has to know the connection of each rank.
             list.extend(self.report_to_all(now));
         } else if moved(|it| Some(it.version)) || moved(|it| it.prepared) || formed {
             list.extend(self.report_to_planner(now));
@@ -292,23 +292,24 @@
         list
     }
 
-    /// Opens the member of the switch. A group that is too large for one goes on
-    /// without maps of ours.
+    /// Creates the member of the switch protocol. A group that is too large for the protocol keeps
+    /// running on the engine's own map.
     fn open_member(&mut self, group: &Group) {
-        if self.member.is_some() || self.refused == Some(group.size) {
+        if self.member.is_some() || self.unsupported_size == Some(group.size) {
             return;
         }
         match Member::open(group.rank, group.size, self.fence) {
             Ok(it) => self.member = Some(it),
             Err(e) => {
-                slog::error!(self.log, "group served without maps"; "group" => &group.name,
-                    "rank" => group.rank, "error" => %e);
+                slog::error!(self.log, "expert map of the group is not managed";
+                    "group" => &group.name, "rank" => group.rank, "error" => %e);
                 self.metrics.ignored(Ignored::LargeGroup);
-                self.refused = Some(group.size);
+                self.unsupported_size = Some(group.size);
             }
         }
     }
 
+    /// Discards the state of the previous epoch when the group forms again.
     fn reset_for_group(&mut self, group: &Group) {
         slog::info!(self.log, "group formed"; "group" => &group.name, "rank" => group.rank,
             "size" => group.size, "epoch" => group.reading.epoch, "open" => group.open);
@@ -323,6 +324,7 @@
             .map(|it| Demand::new(group.size.into(), it.layers as usize, it.experts as usize));
     }
 
+    /// Updates the average duration of a pass from the time between two step readings.
     fn update_pass_time(&mut self, now: Millis, step: u64) {
         match self.last_step {
             Some((at, last)) if step > last => {
@@ -336,7 +338,7 @@
         }
     }
 
-    /// Takes the end of a call to the replica.
+    /// Handles the result of a call to the replica.
     pub fn on_call_result(&mut self, now: Millis, call: &Call, result: &CallResult) -> Vec<Action> {
         match (call, result) {
             (Call::Order(_), it) => {
@@ -375,17 +377,19 @@
     }
 
     fn log_decode_error(&self, e: &sablepass_platform::Error) -> Vec<Action> {
-        slog::warn!(self.log, "answer not decoded"; "error" => %e);
+        slog::warn!(self.log, "cannot decode the replica's answer"; "error" => %e);
         Vec::new()
     }
 
-    fn on_counts(&mut self, now: Millis, it: Picked) -> Vec<Action> {
+    /// Records the own rank's counts on rank 0; other ranks send them to the planner.
+    fn on_counts(&mut self, now: Millis, picked: Picked) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
-        if it.epoch != group.reading.epoch {
+        if picked.epoch != group.reading.epoch {
             return Vec::new();
         }
         if group.rank == 0 {
-            if let (Some(demand), Some(chosen)) = (&mut self.demand, self.counts.advance(it.counts))
+            if let (Some(demand), Some(chosen)) =
+                (&mut self.demand, self.counts.advance(picked.counts))
             {
                 demand.record(now, 0, &chosen);
             }
@@ -396,7 +400,7 @@
             self.counts_sent_to = Some(planner);
             self.counts.reset();
         }
-        let chosen = self.counts.advance(it.counts).unwrap_or_default();
+        let chosen = self.counts.advance(picked.counts).unwrap_or_default();
         let tally = match chosen.is_empty() {
             true => self.tally(now, false),
             false => self.counts_tally(now, &chosen),
@@ -410,7 +414,7 @@
         self.group.as_ref().map_or(String::new(), |it| it.name.clone())
     }
 
-    /// Takes a message of another agent. None if it is not for groups.
+    /// Handles a message of another agent. Returns `None` if the message is of another kind.
     pub fn on_message(&mut self, now: Millis, peer: PeerKey, body: Body) -> Option<Vec<Action>> {
         match body {
             Body::Tally(it) => Some(self.on_tally(now, peer, it)),
@@ -421,13 +425,14 @@
         }
     }
 
+    /// Returns whether a message belongs to the own group in its current epoch.
     fn is_own_epoch(&self, group: &str, epoch: u64) -> bool {
         self.group.as_ref().is_some_and(|it| it.name == group && it.reading.epoch == epoch)
     }
 
-    // Time and plans.
+    // Periodic work.
 
-    /// Asks for missing votes, and plans beside rank 0.
+    /// Queries missing votes, sends periodic tallies and, on rank 0, plans.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         let Some(member) = &mut self.member else { return Vec::new() };
         let outputs = member.tick();
@@ -452,7 +457,7 @@
         list
     }
 
-    /// How the group stands, as this agent sees it.
+    /// Returns the group's status, as known to this agent, for operators.
     pub fn explain(&self) -> serde_json::Value {
         let reading = self.group.as_ref().map(|it| it.reading);
         serde_json::json!({
