--- a/crates/sablepass-agent/src/ranks/maps.rs
+++ b/crates/sablepass-agent/src/ranks/maps.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Proposed maps: passed on from rank to rank, and prepared at the own one.
+//! Proposed maps: forwards them along the group's spanning tree and has the own rank prepare
+//! them.
 
 use sablepass_core::expert::barrier::Done;
 use sablepass_core::expert::difference;
@@ -17,66 +18,76 @@
 use crate::ranks::votes::order_outcome;
 use crate::ranks::{Action, Preparation, Ranks};
 
-/// How often the order to prepare a map is given again when it goes unanswered.
+/// Maximum number of prepare orders for a map, including repeats after a missing answer.
 const MAX_PREPARE_ORDERS: u32 = 4;
-/// A map that was in force, with the slots that all ranks know its experts by.
+
+/// A complete map that was in force. All ranks have its experts in the same slots, so that
+/// changes can be encoded relative to it.
 pub(super) struct BaseMap {
     pub(super) version: u64,
     pub(super) map: Map,
 }
 
 impl Ranks {
-    /// Takes a proposed map, passes it on to the ranks below and prepares it. What
-    /// differs from a map that is not known here is asked for as a whole.
-    pub(super) fn on_proposal(&mut self, peer: PeerKey, it: &wire::Proposal) -> Vec<Action> {
-        let Some(shape) = self.map_shape().filter(|_| self.is_own_epoch(&it.group, it.epoch))
+    /// Handles a proposed map: forwards it to the children in the tree and prepares it. If the
+    /// proposal is relative to a map that is unknown here, requests the complete map from the
+    /// sender.
+    pub(super) fn on_proposal(&mut self, peer: PeerKey, proposal: &wire::Proposal) -> Vec<Action> {
+        let Some(shape) =
+            self.map_shape().filter(|_| self.is_own_epoch(&proposal.group, proposal.epoch))
         else {
             return Vec::new();
         };
-        let map =
-            if it.map.is_empty() { self.apply_changes(it) } else { parse_full_map(shape, it) };
+        let map = if proposal.map.is_empty() {
+            self.apply_changes(proposal)
+        } else {
+            parse_full_map(shape, proposal)
+        };
         match map {
             Ok(map) => {
-                let mut list = self.forward_proposal(it);
-                list.extend(self.prepare(it.version, map));
+                let mut list = self.forward_proposal(proposal);
+                list.extend(self.prepare(proposal.version, map));
                 list
             }
             Err(difference::Error::BaseMismatch) => {
-                slog::info!(self.log, "whole map asked for"; "version" => it.version,
-                    "base" => it.base);
-                let pull =
-                    wire::MapPull { group: it.group.clone(), epoch: it.epoch, version: it.version };
+                slog::info!(self.log, "base map is unknown; requesting the complete map";
+                    "version" => proposal.version, "base" => proposal.base);
+                let pull = wire::MapPull {
+                    group: proposal.group.clone(),
+                    epoch: proposal.epoch,
+                    version: proposal.version,
+                };
                 vec![Action::Send(peer, Body::MapPull(pull))]
             }
             Err(e) => {
-                slog::warn!(self.log, "proposed map does not fit"; "error" => %e);
+                slog::warn!(self.log, "proposed map rejected"; "error" => %e);
                 self.metrics.ignored(Ignored::BadFrame);
                 Vec::new()
             }
         }
     }
 
-    fn apply_changes(&self, it: &wire::Proposal) -> Result<Map, difference::Error> {
-        let known = self.base.as_ref().filter(|base| base.version == it.base);
-        let first = || Map::initial(self.map_shape()?).ok().filter(|_| it.base == 0);
+    /// Applies the changes of a proposal to its base map.
+    fn apply_changes(&self, proposal: &wire::Proposal) -> Result<Map, difference::Error> {
+        let known = self.base.as_ref().filter(|base| base.version == proposal.base);
+        let first = || Map::initial(self.map_shape()?).ok().filter(|_| proposal.base == 0);
         let base = known.map(|it| it.map.clone()).or_else(first);
         let base = base.ok_or(difference::Error::BaseMismatch)?;
-        difference::apply(&base, &it.changes, it.digest)
+        difference::apply(&base, &proposal.changes, proposal.digest)
     }
 
-    /// Sends the map that is being prepared here to a rank that lacks the one it
-    /// differs from.
-    pub(super) fn on_map_pull(&self, peer: PeerKey, it: &wire::MapPull) -> Vec<Action> {
+    /// Sends the complete map that the own rank prepares to a rank that lacks its base map.
+    pub(super) fn on_map_pull(&self, peer: PeerKey, pull: &wire::MapPull) -> Vec<Action> {
         let preparation =
-            self.preparation.as_ref().filter(|preparation| preparation.version == it.version);
-        let Some(preparation) = preparation.filter(|_| self.is_own_epoch(&it.group, it.epoch))
+            self.preparation.as_ref().filter(|preparation| preparation.version == pull.version);
+        let Some(preparation) = preparation.filter(|_| self.is_own_epoch(&pull.group, pull.epoch))
         else {
             return Vec::new();
         };
         let whole = wire::Proposal {
-            group: it.group.clone(),
-            epoch: it.epoch,
-            version: it.version,
+            group: pull.group.clone(),
+            epoch: pull.epoch,
+            version: pull.version,
             map: preparation.map.encode().into(),
             base: 0,
             changes: Vec::new(),
@@ -85,28 +96,28 @@
         vec![Action::Send(peer, Body::Proposal(whole))]
     }
 
-    /// Passes a proposed map on to the ranks below this one.
-    pub(super) fn forward_proposal(&self, it: &wire::Proposal) -> Vec<Action> {
+    /// Forwards a proposed map to the children of the own rank in the tree.
+    pub(super) fn forward_proposal(&self, proposal: &wire::Proposal) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         let below = Tree::open(group.size).children(group.rank);
         let peers = below.filter_map(|rank| self.ranks.get(&rank)).map(|it| it.peer);
-        peers.map(|peer| Action::Send(peer, Body::Proposal(it.clone()))).collect()
+        peers.map(|peer| Action::Send(peer, Body::Proposal(proposal.clone()))).collect()
     }
 
-    /// Remembers the map that came into force, if it was prepared here.
+    /// Keeps the map that came into force as the base map, if the own rank prepared it.
     pub(super) fn keep_base_map(&mut self, version: u64) {
         let preparation = self.preparation.as_ref().filter(|it| it.version == version);
         self.base = preparation.map(|it| BaseMap { version, map: it.map.clone() });
     }
 
-    /// The map in force, as the planner and all ranks know it.
+    /// Returns the map in force, if it is known completely.
     pub(super) fn map_in_force(&self) -> Option<&Map> {
         let version = self.group.as_ref()?.reading.version;
         self.base.as_ref().filter(|it| it.version == version).map(|it| &it.map)
     }
 
-    /// Works out the map in force from what the ranks hold, where this agent did
-    /// not have it prepared.
+    /// Derives the map in force from the experts that the ranks reported, if this agent did not
+    /// have it prepared.
     pub(super) fn derive_base_map(&mut self) {
         let Some(version) = self.group.as_ref().map(|it| it.reading.version) else { return };
         if self.map_in_force().is_some() {
@@ -118,6 +129,7 @@
         self.base = Some(BaseMap { version, map: initial.unwrap_or(held) });
     }
 
+    /// Builds a map from the experts that each rank reported. `None` while a report is missing.
     fn map_from_ranks(&self) -> Option<Map> {
         let shape = self.map_shape()?;
         let mine = &self.lists.as_ref()?.experts;
@@ -135,6 +147,7 @@
         Map::build(shape, &layers).ok()
     }
 
+    /// Returns the shape of the group's maps, from the declared bounds and the group's size.
     pub(super) fn map_shape(&self) -> Option<map::Shape> {
         let (bounds, group) = (self.bounds.as_ref()?, self.group.as_ref()?);
         Some(map::Shape {
@@ -145,6 +158,7 @@
         })
     }
 
+    /// Starts to prepare a map at the own rank, unless it is outdated or a switch is in progress.
     pub(super) fn prepare(&mut self, version: u64, map: Map) -> Vec<Action> {
         let (Some(group), Some(member)) = (&self.group, &mut self.member) else {
             return Vec::new();
@@ -158,6 +172,7 @@
         self.order_prepare()
     }
 
+    /// Issues the prepare order, up to [`MAX_PREPARE_ORDERS`] times.
     fn order_prepare(&mut self) -> Vec<Action> {
         let (Some(group), Some(member), Some(preparation)) =
             (&self.group, &mut self.member, &mut self.preparation)
@@ -170,12 +185,13 @@
         }
         let (version, epoch) = (preparation.version, group.reading.epoch);
         let fence = member.prepare(version);
-        slog::info!(self.log, "map to be prepared"; "version" => version, "epoch" => epoch,
+        slog::info!(self.log, "preparing map"; "version" => version, "epoch" => epoch,
             "step" => group.reading.step, "fence" => fence, "orders" => preparation.orders);
         let body = engine::prepare(version, &experts_by_rank(&preparation.map), epoch, fence);
         vec![Action::Call(Call::Prepare(body))]
     }
 
+    /// Handles the result of a prepare order.
     pub(super) fn on_prepare_result(&mut self, result: &CallResult) -> Vec<Action> {
         let done = match result {
             Ok(it) => order_outcome(it.status),
@@ -183,7 +199,7 @@
         };
         match done {
             Done::Taken => return Vec::new(),
-            // It may be carried out late; one with a higher fence bars it.
+            // The lost order may still arrive; the repeated order's higher fence invalidates it.
             Done::Unknown => return self.order_prepare(),
             Done::Fenced => {
                 if let Some(member) = &mut self.member {
@@ -193,18 +209,18 @@
             }
             Done::Refused => {}
         }
-        slog::warn!(self.log, "map not prepared"; "done" => ?done,
+        slog::warn!(self.log, "engine refused to prepare the map"; "done" => ?done,
             "version" => self.preparation.as_ref().map(|it| it.version));
         self.preparation = None;
         Vec::new()
     }
 }
 
-fn parse_full_map(shape: map::Shape, it: &wire::Proposal) -> Result<Map, difference::Error> {
-    Ok(Map::parse(shape, &it.map)?)
+fn parse_full_map(shape: map::Shape, proposal: &wire::Proposal) -> Result<Map, difference::Error> {
+    Ok(Map::parse(shape, &proposal.map)?)
 }
 
-/// The experts of each rank, layer by layer.
+/// Returns the experts by layer and rank.
 fn experts_by_rank(map: &Map) -> Vec<Vec<Vec<u16>>> {
     let rank = |layer: &map::Layer, rank: usize| {
         let held = layer.slots_of(map::Rank(rank as u16)).filter_map(|slot| layer.expert(slot));
