--- a/crates/sablepass-agent/src/ranks/votes.rs
+++ b/crates/sablepass-agent/src/ranks/votes.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The own rank's member of the switch: what it wants done, and what other
-//! members tell it.
+//! The own rank's member of the switch protocol: executes its outputs and decodes the messages
+//! of other members.
 
 use sablepass_core::expert::barrier::{Done, Message, Output, Plan};
 use sablepass_core::expert::members::{self, Members};
@@ -16,6 +16,8 @@
 use crate::ranks::{Action, Ranks};
 
 impl Ranks {
+    /// Converts the member's outputs to actions. Messages to ranks without a connection are
+    /// dropped; the protocol queries missing votes again.
     pub(super) fn carry_out(&mut self, outputs: Vec<Output>) -> Vec<Action> {
         let mut list = Vec::new();
         for output in outputs {
@@ -53,22 +55,24 @@
         })
     }
 
-    /// Takes a message of the switch. One that this group cannot have is
-    /// counted, and changes nothing.
-    pub(super) fn on_barrier(&mut self, it: &wire::Barrier) -> Vec<Action> {
-        let Some(group) = self.group.as_ref().filter(|_| self.is_own_epoch(&it.group, it.epoch))
+    /// Handles a message of the switch protocol. A message that is invalid in this group is counted
+    /// as ignored and changes nothing.
+    pub(super) fn on_barrier(&mut self, barrier: &wire::Barrier) -> Vec<Action> {
+        let Some(group) =
+            self.group.as_ref().filter(|_| self.is_own_epoch(&barrier.group, barrier.epoch))
         else {
             return Vec::new();
         };
-        let Ok((from, message)) = parse(it, group.size) else {
+        let Ok((from, message)) = parse(barrier, group.size) else {
             self.metrics.ignored(Ignored::BadFrame);
             return Vec::new();
         };
         let Some(member) = &mut self.member else { return Vec::new() };
-        match member.on_message(from, it.epoch, message) {
+        match member.on_message(from, barrier.epoch, message) {
             Ok(outputs) => self.carry_out(outputs),
             Err(e) => {
-                slog::warn!(self.log, "message of the switch ignored"; "error" => %e);
+                slog::warn!(self.log, "invalid message of the switch protocol ignored";
+                    "error" => %e);
                 self.metrics.ignored(Ignored::BadFrame);
                 Vec::new()
             }
@@ -76,34 +80,34 @@
     }
 }
 
-/// Why a message of the switch does not decode.
+/// Error in decoding a message of the switch protocol.
 #[derive(Debug, Snafu)]
 enum Error {
-    /// A kind that there is not.
-    #[snafu(display("no kind {kind}"))]
+    /// The message kind is unknown.
+    #[snafu(display("unknown message kind {kind}"))]
     Kind { kind: u32 },
-    /// A sender that no group has.
-    #[snafu(display("no rank {rank}"))]
+    /// The sender's rank exceeds 65535.
+    #[snafu(display("invalid sender rank {rank}; the maximum is 65535"))]
     Rank { rank: u32 },
-    /// The votes are not of this group.
+    /// The votes are not a member set of this group.
     #[snafu(transparent)]
     Votes { source: members::Error },
 }
 
-/// The sender's rank and what it says to a group of `size`.
-fn parse(it: &wire::Barrier, size: u16) -> Result<(u16, Message), Error> {
-    let plan = Plan { version: it.version, step: it.step };
-    let message = match it.kind {
+/// Decodes the sender's rank and the message, for a group of `size` members.
+fn parse(barrier: &wire::Barrier, size: u16) -> Result<(u16, Message), Error> {
+    let plan = Plan { version: barrier.version, step: barrier.step };
+    let message = match barrier.kind {
         0 => Message::Switch(plan),
-        1 => Message::Votes { plan, yes: Members::parse(&it.yes, size)?, no: it.no },
+        1 => Message::Votes { plan, yes: Members::parse(&barrier.yes, size)?, no: barrier.no },
         2 => Message::Ask(plan),
         kind => return KindSnafu { kind }.fail(),
     };
-    let from = u16::try_from(it.rank).ok().context(RankSnafu { rank: it.rank })?;
+    let from = u16::try_from(barrier.rank).ok().context(RankSnafu { rank: barrier.rank })?;
     Ok((from, message))
 }
 
-/// What became of an order, by the status of its answer.
+/// Returns the result of an order by the HTTP status of its answer.
 pub(super) fn order_outcome(status: u16) -> Done {
     match engine::taken(status) {
         engine::Taken::Yes => Done::Taken,
