--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The planner beside rank 0: when a group needs another map, which one, and
-//! from which step on it is to be in force.
+//! The planner on rank 0: decides when a group needs another map, which one, and from which
+//! step on it is in force.
 
 use sablepass_core::expert::barrier::{Member, Plan};
 use sablepass_core::expert::difference;
@@ -14,67 +14,66 @@
 
 use crate::ranks::{Action, Proposed, RankStatus, Ranks};
 
-/// Age of a rank's counts beyond which the planner does not plan: two and a
-/// half of the intervals at which they are told.
+/// Maximum age of a rank's counts for planning: about two and a half reporting intervals.
 const MAX_COUNTS_AGE: Millis = 300;
-/// Age of what a rank told of itself beyond which it counts as silent: two and a
-/// half of the intervals at which ranks tell.
+/// Age of a rank's status beyond which the rank counts as silent: two and a half of the
+/// intervals at which ranks report.
 const MAX_STATUS_AGE: Millis = 1_250;
-/// How many times as long as copying takes ranks may be busy with a map, and
-/// how much longer, before it is given up: orders to them may go unanswered,
-/// and are given again after 25 ms up to three times.
+/// Time that ranks may take to prepare a map before it is dropped: this multiple of the copying
+/// time, plus [`PREPARE_TIMEOUT_MARGIN`]. Orders may remain unanswered; each is repeated after
+/// 25 ms, up to three times.
 const PREPARE_TIMEOUT_FACTOR: f64 = 1.5;
 const PREPARE_TIMEOUT_MARGIN: Millis = 1_000;
-/// How far ahead a switch is laid: two orders at each rank and the votes take 8
-/// ms, and readings of the last step are up to 25 ms old. A switch that is laid
-/// too short holds its step for as long, and is no less safe.
+/// Time from the proposal of a switch to its step. Two orders on each rank and the votes take
+/// 8 ms, and readings of the latest step are up to 25 ms old. A lead that is too short delays
+/// the step by the difference, but is no less safe.
 const SWITCH_LEAD: Millis = 35;
-/// How much further ahead it is laid while orders go unanswered, so that four
-/// of them can be given again before the step is held.
+/// Additional lead while orders remain unanswered, so that four orders can be repeated before
+/// the step is held.
 const EXTRA_SWITCH_LEAD: Millis = 100;
-/// How long an unanswered order counts as a sign of more.
+/// Time for which an unanswered order extends the lead of switches.
 pub(super) const UNANSWERED_WINDOW: Millis = 5_000;
-/// How long an obstacle to planning lasts before a line says so.
+/// Minimum duration of an obstacle to planning before it is logged.
 const OBSTACLE_LOG_DELAY: Millis = 1_000;
-/// Passes that it is laid ahead at least, beside the one that begins next: an
-/// idle group makes none until work comes.
+/// Minimum lead of a switch in passes, in addition to the pass that starts next. An idle group
+/// runs no pass until a request arrives.
 const MIN_LEAD_PASSES: u64 = 1;
-/// By how much versions jump when ranks refuse one: another planner used more.
+/// Increment of the version after a proposal that ranks did not prepare in time: another
+/// planner may have used higher versions.
 const VERSION_JUMP: u64 = 1_000;
-/// Requests that a rank runs, over some time, below which its group has next to
-/// nothing to do: copying slows nobody down then.
+/// Average number of running requests per rank below which its group counts as idle, so that
+/// copying experts slows down no request.
 const IDLE_REQUESTS: f64 = 0.05;
-/// Microseconds of a millisecond.
 const MICROS_PER_MILLI: f64 = 1_000.0;
-/// Parts in which the experts' part is declared.
+/// Unit of the declared `part` of the experts in a pass.
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// Why a proposed map is given up.
+/// Reason for dropping a proposed map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DropReason {
-    /// Demand moved on before the ranks had prepared it.
+    /// Demand shifted before all ranks had prepared the map.
     Shifted,
-    /// Ranks take far longer than copying does.
+    /// The ranks exceeded the time allowed for preparing the map.
     Late,
-    /// A rank could not be armed in time.
+    /// The switch failed: a rank was not armed in time.
     Refused,
 }
 
-/// What a change of map answers.
+/// Cause of a change of the map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
-    /// The group has its first map, in which experts are dealt out in turn.
+    /// The group runs on its first map, in which experts are assigned round-robin.
     Opened,
     /// Demand shifted since the map in force was made.
     Shifted,
-    /// Demand drifted, or the map turned out less even than worked out.
+    /// Demand drifted gradually, or the map in force has a higher lag than expected.
     Drifted,
-    /// Slots are empty, and the group has next to nothing to do.
+    /// Slots are empty and the group is idle.
     Idle,
 }
 
 impl Cause {
-    /// The counter label.
+    /// Returns the metric label.
     fn label(self) -> &'static str {
         match self {
             Self::Opened => "opened",
@@ -85,21 +84,21 @@
     }
 }
 
-/// What keeps the planner from planning.
+/// Condition that prevents planning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Obstacle {
-    /// The own rank is not free for a new plan.
+    /// The own rank is busy with a switch.
     Switching,
-    /// A rank's counts are missing or old.
+    /// A rank's counts are missing or outdated.
     OldCounts,
-    /// A rank was not heard of lately, or has another map in force.
+    /// A rank has not reported recently, or has another map in force.
     RankMissing,
-    /// What the ranks hold makes no map.
+    /// The experts that the ranks reported do not form a map.
     NoMap,
 }
 
 impl Obstacle {
-    /// The counter label.
+    /// Returns the metric label.
     fn label(self) -> &'static str {
         match self {
             Self::Switching => "waits-switching",
@@ -111,13 +110,14 @@
 }
 
 impl Ranks {
-    /// Takes the counts of an interval, and says what is to be done for a
-    /// better map.
+    /// Evaluates the counts of the latest interval, drops a proposal that has become useless, and
+    /// proposes a better map if there is one.
     pub(super) fn plan(&mut self, now: Millis) -> Vec<Action> {
         let interval = self.demand.as_ref().and_then(|it| it.recent(1, 0));
         let shifted = interval.is_some_and(|it| self.demand_monitor.observe(now, it));
         if shifted {
-            slog::info!(self.log, "demand shifted"; "life" => self.demand_monitor.expected_remaining_ms(now),
+            slog::info!(self.log, "demand shifted";
+                "life" => self.demand_monitor.expected_remaining_ms(now),
                 "step" => self.group.as_ref().map(|it| it.reading.step));
             self.search_backoff = None;
             self.outdated = true;
@@ -127,7 +127,8 @@
         self.calibrate(now);
         if let Some(why) = self.drop_reason(now, shifted) {
             let it = self.proposed.take();
-            slog::warn!(self.log, "map given up"; "version" => it.map(|it| it.version), "why" => ?why);
+            slog::warn!(self.log, "proposed map dropped"; "version" => it.map(|it| it.version),
+                "why" => ?why);
             if why == DropReason::Late {
                 self.highest_version += VERSION_JUMP;
             }
@@ -135,7 +136,7 @@
         self.propose_if_better(now)
     }
 
-    /// Proposes a better map, if there is one and nothing keeps it from that.
+    /// Proposes a better map, if there is one and no obstacle, proposal or back-off prevents it.
     pub(super) fn propose_if_better(&mut self, now: Millis) -> Vec<Action> {
         let planner = self.group.as_ref().is_some_and(|it| it.rank == 0 && it.open);
         if !planner || self.proposed.is_some() {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// What a more even map answers.
+    /// Returns the cause of a change to a map with a lower lag.
     fn cause(&self) -> Cause {
         let first = self.group.as_ref().is_some_and(|it| it.reading.version == 0);
         match (first, self.outdated) {
@@ -166,8 +167,8 @@
         }
     }
 
-    /// A map with fewer empty slots, while the group has next to nothing to do. No
-    /// rank gets more new experts than the change says; most get fewer.
+    /// Returns a map with fewer empty slots, if the group is idle. The change's `max_copies` is an
+    /// upper bound; most ranks receive fewer new experts.
     fn fill_spare_slots(&self) -> Option<rebalance::Change> {
         let spare = self.bounds.as_ref()?.spare as usize;
         let old = self.map_in_force().filter(|_| self.mean_running < IDLE_REQUESTS)?;
@@ -184,7 +185,7 @@
         })
     }
 
-    /// Why the map that is proposed can no longer be of use, if so.
+    /// Returns why the proposed map has become useless, or `None` if it has not.
     fn drop_reason(&self, now: Millis, shifted: bool) -> Option<DropReason> {
         let it = self.proposed.as_ref()?;
         if self.group.as_ref().is_some_and(|group| group.reading.version >= it.version) {
@@ -192,7 +193,7 @@
         }
         let free = self.member.as_ref().is_some_and(Member::is_free);
         if it.switching {
-            // A switch that is over has failed: this version is not in force.
+            // The switch has ended and this version is not in force, so it failed.
             return free.then_some(DropReason::Refused);
         }
         if shifted {
@@ -201,7 +202,7 @@
         (now >= it.deadline).then_some(DropReason::Late)
     }
 
-    /// Why the planner cannot plan, if so.
+    /// Returns the obstacle to planning, if any.
     fn obstacle(&mut self, now: Millis) -> Option<Obstacle> {
         let Some(member) = self.member.as_ref().filter(|it| it.is_free()) else {
             return Some(Obstacle::Switching);
@@ -218,24 +219,25 @@
         self.map_in_force().is_none().then_some(Obstacle::NoMap)
     }
 
-    /// Says what has kept the planner from planning for a while, once.
+    /// Logs and counts an obstacle once it has lasted for [`OBSTACLE_LOG_DELAY`].
     fn log_obstacle(&mut self, now: Millis, obstacle: Option<Obstacle>) {
         let Some(it) = obstacle else {
             self.obstacle = None;
             return;
         };
-        let (known, since, told) = *self.obstacle.get_or_insert((it, now, false));
+        let (known, since, logged) = *self.obstacle.get_or_insert((it, now, false));
         if known != it {
             self.obstacle = Some((it, now, false));
-        } else if !told && now >= since + OBSTACLE_LOG_DELAY {
+        } else if !logged && now >= since + OBSTACLE_LOG_DELAY {
             let ranks: Vec<u16> = self.silent_ranks(now);
             self.metrics.plans.with_label_values(&[it.label()]).inc();
-            slog::warn!(self.log, "planner waits"; "why" => ?it, "silent_ranks" => ?ranks,
+            slog::warn!(self.log, "planner is blocked"; "why" => ?it, "silent_ranks" => ?ranks,
                 "member" => ?self.member.as_ref().map(|it| (it.plan(), it.reading().copied())));
             self.obstacle = Some((it, since, true));
         }
     }
 
+    /// Returns the other ranks whose status is missing or older than [`MAX_STATUS_AGE`].
     fn silent_ranks(&self, now: Millis) -> Vec<u16> {
         let size = self.group.as_ref().map_or(0, |it| it.size);
         let fresh = |rank: &u16| {
@@ -246,6 +248,7 @@
         (1..size).filter(|it| !fresh(it)).collect()
     }
 
+    /// Searches for a better map. Starts a back-off if there is none.
     fn decide(&mut self, now: Millis) -> Option<rebalance::Change> {
         let bounds = self.bounds.as_ref()?;
         let options = rebalance::Options {
@@ -264,37 +267,38 @@
         change
     }
 
-    /// Whether a search just now found nothing, and nothing speaks for another.
+    /// Returns whether a recent search found no better map and the lag gives no reason for another.
     fn is_search_backed_off(&self, now: Millis) -> bool {
         let search_backoff = self.search_backoff.as_ref().zip(self.lag);
         search_backoff.is_some_and(|(search_backoff, lag)| search_backoff.is_active(now, lag))
     }
 
-    /// Compares the map in force with what was worked out for it.
+    /// Records the lag of the map in force to calibrate future estimates, when that is due.
     fn calibrate(&mut self, now: Millis) {
         let Some(lag) = self.lag.filter(|_| self.calibration.is_due(now)) else { return };
         self.calibration.record_lag(lag);
-        slog::info!(self.log, "map judged"; "lag" => lag,
+        slog::info!(self.log, "lag of the map in force recorded"; "lag" => lag,
             "version" => self.group.as_ref().map(|it| it.reading.version),
             "optimism" => self.calibration.optimism());
     }
 
-    /// Works out the lag of the map in force, where all ranks told what they hold.
+    /// Updates the lag of the map in force. The old value stays if the map or the demand is
+    /// unknown.
     fn update_lag(&mut self) {
         let map = self.map_in_force().zip(self.demand_monitor.demand());
         let lag = map.map(|(map, demand)| rebalance::mean_lag(map, demand, &self.paces()));
         self.lag = lag.or(self.lag);
     }
 
-    /// Part of a pass on an even map that experts' work makes up, with as many
-    /// sequences as the own rank has of late.
+    /// Returns the share of a pass that expert computation takes on an even map, for the number of
+    /// sequences that the own rank has run recently.
     fn expert_share(&self, bounds: &Bounds) -> f64 {
         let sequences = f64::from(bounds.sequence) * self.mean_running.max(1.0);
         let experts = sequences * f64::from(bounds.part) / THOUSANDTHS;
         experts / (f64::from(bounds.step) + sequences).max(1.0)
     }
 
-    /// Whether all other ranks were heard of lately and have this map in force.
+    /// Returns whether all other ranks reported recently and have this version in force.
     fn all_ranks_on(&self, now: Millis, version: u64) -> bool {
         let size = self.group.as_ref().map_or(0, |it| usize::from(it.size));
         let epoch = self.group.as_ref().map_or(0, |it| it.reading.epoch);
@@ -304,7 +308,7 @@
         self.ranks.values().filter(agrees).count() + 1 >= size
     }
 
-    /// The ranks' paces, as last told.
+    /// Returns the paces that the ranks last reported.
     pub(super) fn paces(&self) -> Paces {
         let size = self.group.as_ref().map_or(0, |it| it.size);
         let mine = self.group.as_ref().map_or(1.0, |it| it.pace);
@@ -312,6 +316,7 @@
         Paces::new((0..size).map(|rank| if rank == 0 { mine } else { other(rank) }))
     }
 
+    /// Sends a map to the other ranks and has the own rank prepare it.
     fn propose(&mut self, now: Millis, change: &rebalance::Change, cause: Cause) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         let version = self.highest_version.max(group.reading.version) + 1;
