--- a/crates/sablepass-agent/src/ranks/tally.rs
+++ b/crates/sablepass-agent/src/ranks/tally.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What ranks tell each other of how they stand, and the planner of what their
-//! requests chose.
+//! Tallies: the status that ranks send each other, and the expert counts of their requests that
+//! they send to the planner.
 
 use sablepass_core::expert::demand;
 use sablepass_core::expert::draw::{self, ReportPlan};
@@ -15,15 +15,15 @@
 use crate::ranks::planner::UNANSWERED_WINDOW;
 use crate::ranks::{Action, CountsRequest, RankStatus, Ranks};
 
-/// Thousandths, as paces are told on the wire.
+/// Unit of paces on the wire: thousandths.
 const PACE_SCALE: f64 = 1_000.0;
-/// Milliseconds between two tellings of counts.
+/// Interval at which ranks report counts.
 const COUNTS_INTERVAL_MS: f64 = 100.0;
-/// Separates the layers of a rank's experts on the wire.
+/// Ends each layer in a rank's list of experts on the wire.
 const LAYER_END: u32 = 65_535;
 
 impl Ranks {
-    /// How the own rank stands, with the experts that it holds if asked for.
+    /// Returns the own rank's status, on request with the experts that it holds.
     pub(super) fn tally(&self, now: Millis, experts: bool) -> Option<wire::Tally> {
         let group = self.group.as_ref()?;
         let lists = self.lists.as_ref().filter(|it| it.version == group.reading.version);
@@ -50,12 +50,12 @@
         })
     }
 
-    /// Layers of the declared maps, and experts of a layer.
+    /// Returns the number of layers of the declared maps and of experts per layer.
     fn layer_shape(&self) -> (usize, usize) {
         self.bounds.as_ref().map_or((0, 0), |it| (it.layers as usize, it.experts as usize))
     }
 
-    /// How the planner has the ranks tell their counts.
+    /// Returns how many ranks report counts, and how many choices they sample.
     fn report_plan(&self) -> ReportPlan {
         let (layers, experts) = self.layer_shape();
         draw::report_plan(
@@ -67,15 +67,16 @@
         )
     }
 
-    /// The ranks whose counts the planner asks for.
+    /// Returns, by rank, whether the planner requests its counts.
     pub(super) fn sampled_ranks(&self) -> Vec<bool> {
         let size = self.group.as_ref().map_or(0, |it| it.size);
-        let near = |rank| rank == 0 || self.ranks.get(&rank).is_some_and(|it| it.in_own_hall);
-        let near: Vec<bool> = (0..size).map(near).collect();
-        demand::sample(&near, self.report_plan().ranks)
+        let in_hall = |rank| rank == 0 || self.ranks.get(&rank).is_some_and(|it| it.in_own_hall);
+        let in_hall: Vec<bool> = (0..size).map(in_hall).collect();
+        demand::sample(&in_hall, self.report_plan().ranks)
     }
 
-    /// What the own rank's requests chose, for the planner.
+    /// Returns a tally with the counts of experts that the own rank's requests chose, complete or
+    /// sampled as the planner requested.
     pub(super) fn counts_tally(&self, now: Millis, chosen: &[u64]) -> Option<wire::Tally> {
         let tally = self.tally(now, false)?;
         let experts = self.bounds.as_ref()?.experts as usize;
@@ -92,84 +93,94 @@
         })
     }
 
-    /// Counts that a rank told, or what its draws stand for; none if it told none.
-    fn decode_counts(&self, it: &wire::Tally) -> Result<Option<Vec<u64>>, draw::Error> {
-        if it.totals.is_empty() {
-            return Ok(Some(it.chosen.clone()).filter(|it| !it.is_empty()));
+    /// Returns the counts in a tally, or the counts estimated from its samples; `None` if it has
+    /// neither.
+    fn decode_counts(&self, tally: &wire::Tally) -> Result<Option<Vec<u64>>, draw::Error> {
+        if tally.totals.is_empty() {
+            return Ok(Some(tally.chosen.clone()).filter(|it| !it.is_empty()));
         }
         let (layers, experts) = self.layer_shape();
-        let told = draw::parse(&it.totals, &it.drawn, layers)?;
+        let drawn = draw::parse(&tally.totals, &tally.drawn, layers)?;
         let counts: Vec<Vec<u64>> =
-            told.iter().map(|it| it.counts(experts)).collect::<Result<_, _>>()?;
+            drawn.iter().map(|it| it.counts(experts)).collect::<Result<_, _>>()?;
         Ok(Some(counts.concat()))
     }
 
+    /// Sends the own rank's status to one agent.
     pub(super) fn report_to(&self, now: Millis, peer: PeerKey) -> Option<Action> {
         let tally = self.tally(now, false)?;
-        Some(self.report_body(&tally, &self.sampled_peers(), peer))
+        Some(self.send_tally(&tally, &self.sampled_peers(), peer))
     }
 
+    /// Sends the own rank's status to all connected agents.
     pub(super) fn report_to_all(&self, now: Millis) -> Vec<Action> {
         let Some(tally) = self.tally(now, false) else { return Vec::new() };
-        let asked = self.sampled_peers();
-        self.agents.keys().map(|peer| self.report_body(&tally, &asked, *peer)).collect()
+        let sampled = self.sampled_peers();
+        self.agents.keys().map(|peer| self.send_tally(&tally, &sampled, *peer)).collect()
     }
 
-    fn report_body(&self, tally: &wire::Tally, asked: &[PeerKey], peer: PeerKey) -> Action {
-        let samples = asked.contains(&peer);
+    fn send_tally(&self, tally: &wire::Tally, sampled: &[PeerKey], peer: PeerKey) -> Action {
+        let samples = sampled.contains(&peer);
         let draws = self.report_plan().draws.filter(|_| samples).unwrap_or(0);
         Action::Send(peer, Body::Tally(wire::Tally { samples, draws, ..tally.clone() }))
     }
 
-    /// The agents that the planner asks for counts; none if it is not here.
+    /// Returns the agents from which the planner requests counts; empty if this agent is not the
+    /// planner.
     fn sampled_peers(&self) -> Vec<PeerKey> {
         if self.group.as_ref().is_none_or(|it| it.rank != 0) {
             return Vec::new();
         }
         let sample = self.sampled_ranks();
-        let asked = |rank: u16| sample.get(usize::from(rank)).is_some_and(|it| *it);
-        self.ranks.iter().filter(|it| asked(*it.0)).map(|it| it.1.peer).collect()
+        let sampled = |rank: u16| sample.get(usize::from(rank)).is_some_and(|it| *it);
+        self.ranks.iter().filter(|it| sampled(*it.0)).map(|it| it.1.peer).collect()
     }
 
-    pub(super) fn on_tally(&mut self, now: Millis, peer: PeerKey, it: wire::Tally) -> Vec<Action> {
+    /// Handles the status of another rank, and its counts if it sent any.
+    pub(super) fn on_tally(
+        &mut self,
+        now: Millis,
+        peer: PeerKey,
+        tally: wire::Tally,
+    ) -> Vec<Action> {
         self.highest_version =
-            self.highest_version.max(it.highest).max(it.version).max(it.prepared);
-        if self.group.as_ref().is_none_or(|mine| mine.name != it.group) {
+            self.highest_version.max(tally.highest).max(tally.version).max(tally.prepared);
+        if self.group.as_ref().is_none_or(|mine| mine.name != tally.group) {
             return Vec::new();
         }
-        let Ok(rank) = u16::try_from(it.rank) else { return Vec::new() };
+        let Ok(rank) = u16::try_from(tally.rank) else { return Vec::new() };
         let old = self.ranks.get(&rank).filter(|old| old.peer == peer);
         let known = old.is_some();
-        let same = old.filter(|old| (old.epoch, old.version) == (it.epoch, it.version));
+        let same = old.filter(|old| (old.epoch, old.version) == (tally.epoch, tally.version));
         let experts = match same {
-            Some(old) if it.experts.is_empty() => old.experts.clone(),
-            _ => layers(&it.experts),
+            Some(old) if tally.experts.is_empty() => old.experts.clone(),
+            _ => layers(&tally.experts),
         };
         if rank == 0 {
-            let draws = Some(it.draws).filter(|it| *it > 0);
-            self.counts_request = it.samples.then_some(CountsRequest { draws });
+            let draws = Some(tally.draws).filter(|it| *it > 0);
+            self.counts_request = tally.samples.then_some(CountsRequest { draws });
         }
-        let told = RankStatus {
+        let status = RankStatus {
             peer,
             in_own_hall: self.agents.get(&peer).is_some_and(|hall| *hall == self.hall),
-            epoch: it.epoch,
+            epoch: tally.epoch,
             received_at: now,
-            step: it.step,
-            version: it.version,
-            prepared: it.prepared,
+            step: tally.step,
+            version: tally.version,
+            prepared: tally.prepared,
             experts,
-            pace: f64::from(it.pace) / PACE_SCALE,
-            unanswered: it.unanswered,
+            pace: f64::from(tally.pace) / PACE_SCALE,
+            unanswered: tally.unanswered,
         };
         let changed = same.is_none();
-        self.ranks.insert(rank, told);
-        let mine = self.is_own_epoch(&it.group, it.epoch);
+        self.ranks.insert(rank, status);
+        let mine = self.is_own_epoch(&tally.group, tally.epoch);
         if mine {
-            self.record_counts(now, rank, &it);
+            self.record_counts(now, rank, &tally);
         }
         let mut list = self.try_switch(now);
         if changed {
-            // The last rank on a new map may be the one that the next was waiting for.
+            // The planner may have been waiting for this rank to adopt the map in force.
             list.extend(self.propose_if_better(now));
         }
         if !known {
@@ -178,12 +189,12 @@
         list
     }
 
-    /// Takes a rank's counts into the demand. Those of another shape are counted
-    /// as ignored.
-    fn record_counts(&mut self, now: Millis, rank: u16, it: &wire::Tally) {
-        let told = self.decode_counts(it);
+    /// Adds a rank's counts to the demand. Counts whose shape does not match the declared maps are
+    /// counted as ignored.
+    fn record_counts(&mut self, now: Millis, rank: u16, tally: &wire::Tally) {
+        let decoded = self.decode_counts(tally);
         let Some(demand) = &mut self.demand else { return };
-        let fits = match told {
+        let fits = match decoded {
             Ok(None) => true,
             Ok(Some(counts)) => demand.record(now, rank.into(), &counts),
             Err(_) => false,
@@ -193,14 +204,15 @@
         }
     }
 
-    /// Tells the planner how the own rank stands and what it holds. Nobody else
-    /// needs to know more than which rank is where.
+    /// Sends the own rank's status and its experts to the planner. The other agents only need to
+    /// know which connection leads to which rank.
     pub(super) fn report_to_planner(&self, now: Millis) -> Option<Action> {
         let planner = self.ranks.get(&0)?.peer;
         Some(Action::Send(planner, Body::Tally(self.tally(now, true)?)))
     }
 }
 
+/// Splits a list of experts from the wire into layers.
 fn layers(flat: &[u32]) -> Vec<Vec<u16>> {
     let parts = flat.split(|it| *it == LAYER_END);
     let mut layers: Vec<Vec<u16>> =
