--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -1,13 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! This agent's share of its group's expert map: one member of the switch,
-//! and, for the first declared member, the planner.
+//! Expert map of a declared group behind the gate: this agent is one member of the switch
+//! protocol and, as the first declared member, also the planner. The keeper drives it.
 //!
-//! The planner is fixed: a switch takes the promise of every member, so there
-//! is none without the first one anyway, and no other could do better in its
-//! absence. Should two plan at once, as while a declaration spreads, the
-//! switch itself makes that harmless.
+//! The planner is always the first member. A switch requires a vote of every member, so none is
+//! possible while the first one is missing, and a failover would gain nothing. Two members may
+//! plan concurrently while a declaration propagates; the switch protocol makes that harmless.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -29,30 +28,30 @@
 
 use crate::orders::{Command, EngineEvent, Orders};
 
-/// Time between two decisions of the planner.
+/// Interval between decisions of the planner.
 const PLAN_INTERVAL: Millis = 2_000;
-/// Least time between two changes: each sends the whole map to every member.
+/// Minimum time between changes. Each change sends the complete map to every member.
 const MIN_CHANGE_INTERVAL: Millis = 10_000;
-/// Time between two readings of the counts by the planner.
+/// Interval at which the planner reads the counts.
 const PLANNER_COUNTS_INTERVAL: Millis = 1_000;
-/// The same for other members, who only show them.
+/// Interval at which the other members read the counts, which they only show to operators.
 const MEMBER_COUNTS_INTERVAL: Millis = 10_000;
-/// Time between two questions for missing votes.
+/// Interval between queries for missing votes.
 const VOTE_QUERY_INTERVAL: Millis = 300;
-/// How far ahead a plan's step lies, beyond the time that loading may take.
+/// Time from the proposal of a switch to its step, in addition to the loading time.
 const SWITCH_LEAD: Millis = 1_500;
-/// Time that one loading of weights is expected to take.
+/// Expected time to load the weights of one moved expert.
 const LOAD_TIME_PER_MOVE: Millis = 5;
-/// How long a new agent of an engine that checks no fence waits, so that its
-/// predecessor's last orders have arrived.
+/// Time for which a new agent does not take part if its engine checks no fences, so that the
+/// last orders of its predecessor have arrived.
 const PREDECESSOR_GRACE: Millis = 1_000;
-/// Maps of proposed plans that are kept.
+/// Number of maps of proposed plans at which older ones are dropped.
 const MAX_KEPT_MAPS: usize = 4;
 
-/// A message to a member of the group.
+/// A message to another member, with the connection to send it on.
 pub type Outgoing = (PeerKey, Body);
 
-/// What does not change while the declaration does not.
+/// State that is constant for a declaration.
 struct Config {
     name: String,
     shape: Shape,
@@ -60,83 +59,93 @@
     own_index: u8,
     options: plan::Options,
     quiet_hours: Option<[u8; 2]>,
-    /// From when on this member takes part.
+    /// Time from which this member takes part in switches.
     active_from: Millis,
 }
 
-/// The member.
+/// The member of the switch protocol and, on the first member, the planner.
 pub struct Group {
     config: Config,
     declaration: Declaration,
     log: Logger,
     metrics: Arc<Metrics>,
     orders: Orders,
-    /// None until the engine's register is read.
+    /// `None` until the engine's register has been read.
     member: Option<Member>,
+    /// The map in force.
     map: Option<Map>,
+    /// Maps of proposed plans, by digest.
     maps: BTreeMap<u64, Map>,
     estimate: Estimate,
+    /// Connections to the other members, by member index.
     connections: HashMap<u8, PeerKey>,
-    /// Steps a second, as seen.
+    /// Moving average of the group's steps per second; 0 if unknown.
     steps_per_second: f64,
+    /// Time and number of the latest step reading.
     last_step: Option<(Millis, u64)>,
+    /// Number of orders whose outcome has not been read.
     pending_orders: usize,
     queried_at: Millis,
     planned_at: Millis,
     proposed_at: Millis,
     counts_read_at: Millis,
+    /// Latest decision of the planner, for operators.
     last_decision: String,
 }
 
-/// Why a declared group cannot be kept.
+/// Error in setting up a declared group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// This target is not among its members.
+    /// This agent's target is not a member.
     NotMember,
-    /// It has more members than a switch takes.
+    /// The group has more members than the switch protocol supports.
     TooMany,
 }
 
 impl Group {
-    /// Opens the member that stands beside `target`.
+    /// Creates the member of the group for the agent of `target`.
     pub fn open(
         now: Millis,
-        it: &Declared<Declaration>,
+        declared: &Declared<Declaration>,
         target: &str,
         checks_fence: bool,
         orders: Orders,
         (log, metrics): (Logger, Arc<Metrics>),
     ) -> Result<Self, OpenError> {
-        let members: Vec<String> =
-            it.resource.members.iter().map(|name| format!("{}/{name}", it.partner)).collect();
+        let members: Vec<String> = declared
+            .resource
+            .members
+            .iter()
+            .map(|name| format!("{}/{name}", declared.partner))
+            .collect();
         if members.len() > MAX_MEMBERS {
             return Err(OpenError::TooMany);
         }
         let me = members.iter().position(|it| it == target).ok_or(OpenError::NotMember)?;
         let shape = Shape {
-            ranks: it.resource.ranks as usize,
-            layers: it.resource.layers as usize,
-            experts: it.resource.experts as usize,
-            slots: it.resource.slots as usize,
+            ranks: declared.resource.ranks as usize,
+            layers: declared.resource.layers as usize,
+            experts: declared.resource.experts as usize,
+            slots: declared.resource.slots as usize,
         };
         let options = plan::Options {
-            skew_weight: it.resource.skew_weight,
-            move_weight: it.resource.move_weight,
+            skew_weight: declared.resource.skew_weight,
+            move_weight: declared.resource.move_weight,
             ..plan::Options::default()
         };
         let config = Config {
-            name: format!("{}/{}", it.partner, it.resource.name),
+            name: format!("{}/{}", declared.partner, declared.resource.name),
             shape,
             members,
             own_index: me as u8,
             options,
-            quiet_hours: it.resource.quiet_hours,
+            quiet_hours: declared.resource.quiet_hours,
             active_from: if checks_fence { now } else { now + PREDECESSOR_GRACE },
         };
         orders.send(Command::Map);
         Ok(Self {
             config,
-            declaration: it.resource.clone(),
+            declaration: declared.resource.clone(),
             log,
             metrics,
             orders,
@@ -156,19 +165,19 @@
         })
     }
 
-    /// Whether the declaration is still this one.
-    pub fn has_declaration(&self, it: &Declared<Declaration>) -> bool {
-        self.declaration == it.resource
+    /// Returns whether the group was created from this declaration.
+    pub fn has_declaration(&self, declared: &Declared<Declaration>) -> bool {
+        self.declaration == declared.resource
     }
 
-    /// Names of the other members.
+    /// Returns the names of the other members.
     pub fn peers(&self) -> Vec<String> {
         let me = usize::from(self.config.own_index);
         let others = self.config.members.iter().enumerate().filter(|it| it.0 != me);
         others.map(|it| it.1.clone()).collect()
     }
 
-    /// Records a connection to a member.
+    /// Records a connection to the member `name`; ignores the names of other agents.
     pub fn up(&mut self, name: &str, peer: PeerKey) {
         if let Some(index) = self.config.members.iter().position(|it| it == name) {
             self.connections.insert(index as u8, peer);
@@ -180,18 +189,23 @@
         self.connections.retain(|_, it| *it != peer);
     }
 
-    // The switch.
+    // Switch protocol.
 
-    /// Takes a message of another member.
-    pub fn on_ballot(&mut self, now: Millis, peer: PeerKey, it: &wire::Ballot) -> Vec<Outgoing> {
+    /// Handles a message of another member.
+    pub fn on_ballot(
+        &mut self,
+        now: Millis,
+        peer: PeerKey,
+        ballot: &wire::Ballot,
+    ) -> Vec<Outgoing> {
         let from = self.connections.iter().find(|(_, link)| **link == peer).map(|it| *it.0);
-        // A member may have dialled on another connection: its name tells as well.
-        let named = self.config.members.iter().position(|name| *name == it.member);
+        // The sender may use a connection that it opened itself; the message names it.
+        let named = self.config.members.iter().position(|name| *name == ballot.member);
         let Some(from) = from.or(named.map(|it| it as u8)) else {
             self.metrics.ignored(Ignored::BadFrame);
             return Vec::new();
         };
-        let Some(message) = self.parse(it) else {
+        let Some(message) = self.parse(ballot) else {
             self.metrics.ignored(Ignored::BadFrame);
             return Vec::new();
         };
@@ -205,23 +219,26 @@
         }
     }
 
-    fn parse(&mut self, it: &wire::Ballot) -> Option<Message> {
-        let plan = Plan { version: it.version, step: it.step, digest: it.digest };
-        match it.kind {
+    /// Decodes a message and stores the map of a proposal. `None` if the message is invalid.
+    fn parse(&mut self, ballot: &wire::Ballot) -> Option<Message> {
+        let plan = Plan { version: ballot.version, step: ballot.step, digest: ballot.digest };
+        match ballot.kind {
             0 => {
-                let map = Map::parse(self.config.shape, &it.map).ok()?;
-                if map.digest() != it.digest {
+                let map = Map::parse(self.config.shape, &ballot.map).ok()?;
+                if map.digest() != ballot.digest {
                     return None;
                 }
                 self.store_map(map);
                 Some(Message::Propose(plan))
             }
-            1 | 2 => Some(Message::Vote { plan, yes: it.kind == 1, floor: it.floor }),
+            1 | 2 => Some(Message::Vote { plan, yes: ballot.kind == 1, floor: ballot.floor }),
             3 => Some(Message::Ask(plan)),
             _ => None,
         }
     }
 
+    /// Stores the map of a proposed plan. If there are too many, drops all but that of the armed
+    /// plan.
     fn store_map(&mut self, map: Map) {
         if self.maps.len() >= MAX_KEPT_MAPS {
             let armed = self.member.as_ref().and_then(|it| it.register().armed);
@@ -248,7 +265,7 @@
 
     fn order(&mut self, order: Order) {
         let map = match order {
-            // A plan whose map was lost cannot be armed; its version is barred.
+            // Without the plan's map the engine cannot be armed, so bar the version.
             Order::Arm(plan) => match self.maps.get(&plan.digest) {
                 Some(map) => map.encode(),
                 None => return self.order(Order::Bar(plan.version)),
@@ -282,7 +299,7 @@
         })
     }
 
-    /// Takes what the engine said.
+    /// Handles a reading of the engine or the outcome of an order.
     pub fn on_engine_event(&mut self, now: Millis, event: EngineEvent) -> Vec<Outgoing> {
         match event {
             EngineEvent::Register(it) => self.on_register(now, it, false),
@@ -305,8 +322,10 @@
                 match Map::parse(self.config.shape, &bytes) {
                     Ok(map) => self.map = Some(map),
                     Err(e) => {
-                        slog::warn!(self.log, "the engine's map does not fit"; "error" => %e);
-                        self.last_decision = format!("the engine's map does not fit: {e}");
+                        slog::warn!(self.log, "engine's map does not match the declared group";
+                            "error" => %e);
+                        self.last_decision =
+                            format!("engine's map does not match the declared group: {e}");
                     }
                 }
                 Vec::new()
@@ -314,31 +333,33 @@
         }
     }
 
-    fn on_register(&mut self, now: Millis, it: Register, done: bool) -> Vec<Outgoing> {
-        self.update_pace(now, it.step);
+    /// Handles a reading of the register. `done` means that no order is pending any more.
+    fn on_register(&mut self, now: Millis, register: Register, done: bool) -> Vec<Outgoing> {
+        self.update_pace(now, register.step);
         let size = self.config.members.len() as u8;
         let Some(member) = &mut self.member else {
-            self.member = Some(Member::open(self.config.own_index, size, it));
+            self.member = Some(Member::open(self.config.own_index, size, register));
             return Vec::new();
         };
         let before = member.register().current;
-        let outputs = if done { member.on_done(it) } else { member.on_register(it) };
-        if it.current != before {
-            self.on_switch(it);
+        let outputs = if done { member.on_done(register) } else { member.on_register(register) };
+        if register.current != before {
+            self.on_switch(register);
         }
         self.carry_out(outputs)
     }
 
-    fn on_switch(&mut self, it: Register) {
-        self.metrics.map_version.set(it.version() as i64);
-        slog::info!(self.log, "expert map in force"; "version" => it.version());
-        let digest = it.current.map(|it| it.digest);
+    fn on_switch(&mut self, register: Register) {
+        self.metrics.map_version.set(register.version() as i64);
+        slog::info!(self.log, "expert map in force"; "version" => register.version());
+        let digest = register.current.map(|it| it.digest);
         match digest.and_then(|it| self.maps.remove(&it)) {
             Some(map) => self.map = Some(map),
             None => self.orders.send(Command::Map),
         }
     }
 
+    /// Updates the average number of steps per second from two register readings.
     fn update_pace(&mut self, now: Millis, step: u64) {
         if let Some((at, last)) = self.last_step
             && now > at
@@ -354,9 +375,9 @@
         self.last_step = Some((now, step));
     }
 
-    // Time and plans.
+    // Periodic work.
 
-    /// Reads the engine, asks for missing votes, and plans if that is due.
+    /// Reads the engine, queries missing votes and plans, each when it is due.
     pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
         let planner = self.config.own_index == 0;
         let every = if planner { PLANNER_COUNTS_INTERVAL } else { MEMBER_COUNTS_INTERVAL };
@@ -382,6 +403,7 @@
         sends
     }
 
+    /// Proposes a switch to a better map, if the planner decides for one.
     fn plan(&mut self, now: Millis) -> Vec<Outgoing> {
         let decision = self.decide(now);
         let (outcome, map, moves) = match decision {
@@ -433,7 +455,7 @@
         plan::decide(&self.config.options, map, &self.estimate)
     }
 
-    /// How the group stands, as this member sees it.
+    /// Returns the group's status, as known to this member, for operators.
     pub fn explain(&self) -> serde_json::Value {
         let register = self.member.as_ref().map(|it| *it.register());
         let skews = match &self.map {
@@ -462,7 +484,7 @@
         })
     }
 
-    /// The group's qualified name.
+    /// Returns the qualified name of the group.
     pub fn name(&self) -> &str {
         &self.config.name
     }
