--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The actor beside a target that takes requests straight from entries: it
-//! reads the target's account of itself, which costs nothing from here, tells
-//! the entries its load, and keeps its rank's share of the group's map.
+//! The actor of the agent of a direct target. It polls the target's report, which is cheap on
+//! the same machine, sends the load to the entries, and takes part in switches of the group's
+//! expert map.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -36,22 +36,23 @@
 use crate::ranks::{Action, Ranks};
 use crate::settings::Settings;
 
-/// Time between two looks at a group that is about to switch.
+/// Interval at which the target's report is read while a switch is in progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Pulses between two readings of the counts, in which shifts of demand show.
+/// Number of polls between two readings of the counts, which show shifts of demand.
 const POLLS_PER_COUNTS: u64 = 4;
 
-/// Parts in which a lag that changes is told at once, and those that are told.
+/// Resolution at which a change of the lag causes a report at once: tenths.
 const LAG_STATE_SCALE: f64 = 10.0;
+/// Unit of the lag in reports: thousandths.
 const LAG_REPORT_SCALE: f64 = 1_000.0;
 
-/// The last reading.
+/// The latest report of the target.
 struct Reading {
     report: engine::Report,
     at: Millis,
 }
 
-/// The actor.
+/// The actor of the agent of a direct target.
 pub struct Observer {
     settings: Settings,
     target: SocketAddr,
@@ -63,43 +64,43 @@
     suspects: SuspectCache,
     reading: Option<Reading>,
     steps: Steps,
-    /// The target answered the last time.
+    /// Whether the latest report could be read.
     answering: bool,
-    /// It refused the last connection.
+    /// Whether the target refused the latest connection.
     refuses: bool,
-    /// The limit that it last named.
+    /// The limit that the target last announced.
     limit: Limit,
     ranks: Ranks,
-    /// What entries told of the maps of services, with the revision that says so.
+    /// Bounds of the maps of each service, with the configuration revision that declares them.
     bounds: BTreeMap<String, (Revision, Bounds)>,
     instances: Rc<BTreeMap<String, Instance>>,
-    /// The service that the target answers for, once it is listed.
+    /// The service that the target belongs to; empty until the instance list has the target.
     service: String,
     polls: u64,
     suspension: clock::Sleep,
-    /// When the entries were last told the load.
+    /// Time of the latest report to the entries.
     reported_at: Millis,
-    /// What they were told of the rank.
+    /// State in the latest report to the entries.
     reported_state: State,
 }
 
-/// How a rank stands, for those that choose targets.
+/// State of the rank that the entries use to choose targets. A change is reported at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct State {
-    /// Its group is not complete, so that nothing sent there runs.
+    /// The group is incomplete, so that no request runs there.
     closed: bool,
-    /// Its group makes no step although there is work.
-    stands: bool,
-    /// How long it takes, for which its group waits.
+    /// The group makes no step although there is work.
+    stalled: bool,
+    /// Pace of the rank, which its whole group waits for.
     pace: Pace,
-    /// Lag of the group's map in tenths, where this agent plans it.
+    /// Lag of the group's map in tenths, or 0 if this agent is not the planner.
     lag: u32,
-    /// It refuses connections: its process has ended.
+    /// The target refuses connections, so its process has ended.
     refuses: bool,
 }
 
 impl Observer {
-    /// Starts to read.
+    /// Creates the actor and starts to poll the target.
     pub fn init(
         cx: CX![],
         settings: Settings,
@@ -109,8 +110,9 @@
         mesh: ActorOwn<Mesh>,
         engine: ActorOwn<Engine>,
     ) -> Option<Self> {
-        // Fences grow from agent to agent by the time of day; one that is too
-        // low after a clock went back is found out by the first order.
+        // Fences are based on the time of day, so that they increase from one agent to its
+        // successor. The first order reveals a fence that is too low because the clock was set
+        // back.
         let hall = settings.node.hall.clone();
         let (link, fence) = (settings.link, clock::time_of_day());
         let ranks = Ranks::new(log.clone(), metrics.clone(), hall, link, fence);
@@ -143,12 +145,12 @@
 
     // Other processes.
 
-    /// Takes an event of the mesh.
+    /// Handles an event of the mesh.
     pub fn mesh_event(&mut self, _cx: CX![], event: mesh::Event) {
         match event {
             mesh::Event::Up(peer, it) if it.role == Role::Entry.name() => {
                 if it.dialled.is_none() {
-                    slog::info!(self.log, "entry up"; "entry" => &it.name);
+                    slog::info!(self.log, "entry connected"; "entry" => &it.name);
                     self.entries.up(peer, it.name);
                     if let Some(held) = self.suspects.message(clock::now()) {
                         call!([self.mesh], send(peer, held));
@@ -156,7 +158,7 @@
                 }
             }
             mesh::Event::Up(peer, it) => {
-                slog::info!(self.log, "agent up"; "agent" => it.name);
+                slog::info!(self.log, "agent connected"; "agent" => it.name);
                 let list = self.ranks.up(clock::now(), peer, it.hall);
                 self.carry_out(list);
             }
@@ -178,37 +180,40 @@
                 self.instances = it.instances;
                 self.join_group();
             }
-            // Entries tell what is needed of the configuration.
+            // Entries send the bounds, which is all that an observer needs of the configuration.
             mesh::Event::Config(_) | mesh::Event::Entries(_) => {}
         }
     }
 
-    /// Takes what an entry told of a service, unless another one told it by a
-    /// later configuration.
-    fn on_bounds(&mut self, it: wire::Bounds) {
-        let told = match convert::parse_bounds(&it) {
-            Ok(told) => told,
+    /// Handles the bounds that an entry sent for a service. Bounds of an older configuration
+    /// revision than the known one are ignored.
+    fn on_bounds(&mut self, message: wire::Bounds) {
+        let bounds = match convert::parse_bounds(&message) {
+            Ok(bounds) => bounds,
             Err(e) => {
-                slog::warn!(self.log, "bounds ignored"; "service" => it.service, "error" => %e);
+                slog::warn!(self.log, "invalid bounds of maps ignored";
+                    "service" => message.service,
+                    "error" => %e);
                 return;
             }
         };
-        let revision = Revision::new(it.era, it.revision);
-        let known = self.bounds.get(&it.service);
-        // An entry that learns better tells it anew at the revision that it holds.
+        let revision = Revision::new(message.era, message.revision);
+        let known = self.bounds.get(&message.service);
+        // Bounds of the same revision replace the known ones: an entry that corrects its
+        // configuration sends them again at its current revision.
         if known.is_some_and(|known| known.0 > revision) {
             return;
         }
-        if known.is_none_or(|known| known.1 != told) {
-            slog::info!(self.log, "bounds of maps"; "service" => &it.service,
-                "era" => it.era, "revision" => it.revision, "bounds" => ?told);
+        if known.is_none_or(|known| known.1 != bounds) {
+            slog::info!(self.log, "bounds of maps"; "service" => &message.service,
+                "era" => message.era, "revision" => message.revision, "bounds" => ?bounds);
         }
-        self.bounds.insert(it.service, (revision, told));
+        self.bounds.insert(message.service, (revision, bounds));
         self.join_group();
     }
 
-    /// Declares the group that the target is a rank of, and connects to its
-    /// agents. Bounds and list come in either order.
+    /// Sets the bounds of the group that the target is a rank of, and connects to the agents of
+    /// the group. Bounds and instance list arrive in either order.
     fn join_group(&mut self) {
         let instances = self.instances.clone();
         let targets = || instances.values().filter(|it| it.role == Role::Target);
@@ -221,7 +226,7 @@
             return;
         }
         let me = self.settings.node.listen;
-        // Of two agents one dials.
+        // Of each pair of agents, the one with the lower address connects to the other.
         let others = targets().filter(|it| it.serves == self.service && it.addr.ip() > me.ip());
         let wanted = others.map(|it| Wanted::At(SocketAddr::new(it.addr.ip(), me.port())));
         let wanted: Vec<Wanted> = wanted.collect();
@@ -237,8 +242,9 @@
         }
     }
 
-    // The target.
+    // Target.
 
+    /// Reads the target when that is due, and runs the periodic work.
     fn poll(&mut self, cx: CX![]) {
         let now = clock::now();
         self.polls += 1;
@@ -262,16 +268,16 @@
         after!(POLL_INTERVAL, [cx], poll());
     }
 
-    /// What was read before this process slept says nothing any more: nothing is
-    /// told or ordered by it.
+    /// Discards the latest report after a suspension of this process. It is outdated, so nothing
+    /// is reported or ordered until the next one.
     fn on_resume(&mut self, suspended_for: Millis) {
-        slog::warn!(self.log, "slept"; "for" => suspended_for);
+        slog::warn!(self.log, "process resumed after a suspension"; "for" => suspended_for);
         self.metrics.sleeps.inc();
         self.reading = None;
         call!([self.engine], enqueue(Call::Report));
     }
 
-    /// Takes the end of a call to the target.
+    /// Handles the result of a call to the target.
     pub fn on_call_result(&mut self, _cx: CX![], (call, result): (Call, CallResult)) {
         let now = clock::now();
         if let Ok(it) = &result {
@@ -291,10 +297,10 @@
         }
     }
 
-    /// Says when the target begins or ends to name a limit, or names another.
+    /// Logs a change of the limit that the target announces.
     fn on_limit(&mut self, limit: Limit) {
         if std::mem::replace(&mut self.limit, limit) != limit {
-            slog::info!(self.log, "target names a limit"; "limit" => ?limit);
+            slog::info!(self.log, "target's announced limit changed"; "limit" => ?limit);
         }
     }
 
@@ -302,12 +308,13 @@
         self.refuses = false;
         if !self.answering {
             self.answering = true;
-            slog::info!(self.log, "target regained"; "target" => %self.target);
+            slog::info!(self.log, "target's report is available"; "target" => %self.target);
         }
         let before = self.reading.as_ref().map(|it| it.report.born);
         if before.is_some_and(|it| it != report.born) {
-            // Orders and votes are bound to the group's epoch, which ends with a rank.
-            slog::info!(self.log, "target started anew"; "born" => report.born);
+            // Orders and votes need no reset: they belong to an epoch of the group, which ends
+            // when a rank ends.
+            slog::info!(self.log, "target restarted"; "born" => report.born);
             self.steps = Steps::default();
         }
         let busy = report.running + report.waiting > 0;
@@ -317,13 +324,13 @@
         self.reading = Some(Reading { report, at: now });
         let state = self.state();
         if state.pace != self.reported_state.pace {
-            slog::info!(self.log, "pace changed"; "judged" => ?state.pace,
+            slog::info!(self.log, "pace class of the target changed"; "judged" => ?state.pace,
                 "pace" => self.group().map(|it| it.pace));
         }
         self.report_if_due(now);
     }
 
-    /// Tells the entries, if it is time or something changed that matters to them.
+    /// Reports to the entries if the heartbeat is due or the state has changed.
     fn report_if_due(&mut self, now: Millis) {
         let state = self.state();
         if now >= self.reported_at + self.settings.heartbeat || state != self.reported_state {
@@ -340,33 +347,37 @@
     fn state(&self) -> State {
         State {
             closed: self.group().is_some_and(|it| !it.open),
-            stands: self.steps.is_stalled(clock::now()),
+            stalled: self.steps.is_stalled(clock::now()),
             pace: self.group().map_or(Pace::Sound, |it| Pace::of(it.pace)),
             lag: self.scaled_lag(LAG_STATE_SCALE),
             refuses: self.refuses,
         }
     }
 
-    /// Lag of the group's map in such parts; 0 where this agent does not plan it.
-    fn scaled_lag(&self, parts: f64) -> u32 {
-        self.ranks.lag().map_or(0, |it| (it * parts).round() as u32)
+    /// Returns the lag of the group's map multiplied by `scale`, or 0 if this agent is not the
+    /// planner.
+    fn scaled_lag(&self, scale: f64) -> u32 {
+        self.ranks.lag().map_or(0, |it| (it * scale).round() as u32)
     }
 
+    /// Handles a failure to read the target's report. `refuses`: the connection was refused.
     fn on_failure(&mut self, now: Millis, why: &str, refuses: bool) {
         let changed = std::mem::replace(&mut self.refuses, refuses) != refuses;
         if self.answering {
             self.answering = false;
-            slog::warn!(self.log, "target lost"; "target" => %self.target, "why" => why);
+            slog::warn!(self.log, "cannot read the target's report"; "target" => %self.target,
+                "why" => why);
         }
         if changed {
             self.report_if_due(now);
         }
     }
 
+    /// Reports load and state of the target to all entries.
     fn send_report(&self) {
-        let Some(it) = &self.reading else { return };
-        let age = clock::now().saturating_sub(it.at);
-        let load = it.report.running + it.report.waiting;
+        let Some(reading) = &self.reading else { return };
+        let age = clock::now().saturating_sub(reading.at);
+        let load = reading.report.running + reading.report.waiting;
         self.metrics.in_flight.set(load.into());
         let report = Body::Report(wire::Report {
             in_flight: load,
@@ -379,10 +390,10 @@
             size: self.group().map_or(0, |it| it.size.into()),
             lag: self.scaled_lag(LAG_REPORT_SCALE),
             entries: self.entries.count(),
-            stands: self.state().stands,
+            stands: self.state().stalled,
             refuses: self.refuses,
             group: self.group().map_or(0, |it| rendezvous::stable_hash(&it.name) as u32),
-            // It sends the target no requests that could be turned away.
+            // This agent sends the target no requests, so it learns of no pause.
             rest: 0,
             limit: None,
         });
@@ -426,7 +437,7 @@
         }
     }
 
-    /// Takes a signal. It ends at once: nothing waits for this process.
+    /// Handles a signal. A stop takes effect at once, since no request runs through this process.
     pub fn signal(&mut self, cx: CX![], signal: runtime::Signal) {
         match signal {
             runtime::Signal::Stop => {
@@ -434,7 +445,8 @@
                 stakker::stop!(cx);
             }
             runtime::Signal::Reload => {
-                slog::info!(self.log, "settings kept"; "why" => "an agent takes them at its start");
+                slog::info!(self.log, "settings not reloaded";
+                    "why" => "an agent reads its settings only at startup; restart it");
             }
         }
     }
