--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -1,8 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The actor that keeps the target: it asks the gate, starts runs, passes
-//! their answers on, reports, and drains.
+//! The actor of the agent of a gated target. It passes each dispatch to the gate, starts the
+//! admitted ones on the target, forwards their answers to the entries, reports the target's
+//! state, and drains on shutdown.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -33,38 +34,42 @@
 use crate::settings::Settings;
 use crate::target::{Load, Target};
 
-/// Bytes of an unsafe request's answer that are kept for a caller who lost contact.
+/// Maximum size of a kept answer of a request that is not safe to repeat. An entry that lost
+/// its connection can fetch the answer with a probe.
 const MAX_KEPT_ANSWER_BYTES: usize = 64 * 1024;
 
-/// A request that runs, or whose answer is still kept.
+/// An attempt that runs, or whose answer is still kept.
 pub(crate) struct Active {
-    /// The entry that gets the answer; none while contact is lost.
+    /// The entry that receives the answer; `None` while its connection is lost.
     pub(crate) peer: Option<PeerKey>,
     pub(crate) unsafe_repeat: bool,
     pub(crate) key: Option<Key>,
     pub(crate) cancelled: Arc<AtomicBool>,
+    /// HTTP status and content type of the answer.
     pub(crate) head: Option<(u32, String)>,
+    /// Bytes of the answer received so far.
     pub(crate) sent: u64,
-    /// The answer so far, for requests that must not repeat.
+    /// The answer so far, for requests that are not safe to repeat.
     pub(crate) kept: Vec<u8>,
-    /// Everything of the answer is in `kept`.
+    /// Whether `kept` has all of the answer so far.
     pub(crate) complete: bool,
+    /// Time and result of the attempt's end.
     pub(crate) end: Option<(Millis, Result<(), Failure>)>,
 }
 
-/// What the actor works with.
+/// Actors, threads and channels that the keeper uses.
 pub struct Handles {
-    /// Connections to other processes.
+    /// The connections to other processes.
     pub mesh: ActorOwn<Mesh>,
     /// The target.
     pub target: Target,
-    /// Where runs send their parts.
+    /// Receives the parts of answers from the threads of the runs.
     pub parts: Channel<Part>,
-    /// Where the engine's answers to orders go.
+    /// Receives the readings and outcomes of orders from the engine's threads.
     pub engine: Channel<EngineEvent>,
 }
 
-/// The actor.
+/// The actor of the agent of a gated target.
 pub struct Keeper {
     pub(crate) settings: Settings,
     pub(crate) log: Logger,
@@ -73,28 +78,32 @@
     pub(crate) target: Target,
     pub(crate) parts: Channel<Part>,
     pub(crate) engine: Channel<EngineEvent>,
-    /// Orders of this agent carry it; it grows from agent to agent.
+    /// Fence of this agent's orders; increases from one agent to its successor.
     pub(crate) fence: Millis,
     pub(crate) group: Option<Group>,
+    /// Names of the connected agents.
     pub(crate) agents: HashMap<PeerKey, String>,
     pub(crate) gate: Gate,
     pub(crate) active: HashMap<AttemptId, Active>,
+    /// Ended attempts whose answers are kept, in the order of their ends.
     pub(crate) ended: VecDeque<AttemptId>,
     pub(crate) entries: Listeners,
     suspects: SuspectCache,
     pub(crate) load: Option<Load>,
-    /// When the target last refused a connection, until it is known to take them again.
-    pub(crate) unreachable_since: Option<Millis>,
-    /// What the target said of itself.
+    /// Time of the latest failed connection to the target, or `None` if the target is reachable.
+    pub(crate) unreachable_at: Option<Millis>,
+    /// Pause and limit that the target announced.
     pub(crate) notices: Notices,
+    /// Declared capacity; 0 if the target is not declared.
     pub(crate) capacity: u32,
+    /// Time of the planned stop.
     pub(crate) stop_at: Option<Millis>,
     pub(crate) stopping: bool,
     pub(crate) drained: bool,
 }
 
 impl Keeper {
-    /// Starts with no configuration and no connections.
+    /// Creates the actor without configuration and connections, and starts its timers.
     pub fn init(
         cx: CX![],
         settings: Settings,
@@ -121,7 +130,7 @@
             entries: Listeners::default(),
             suspects: SuspectCache::default(),
             load: None,
-            unreachable_since: None,
+            unreachable_at: None,
             notices: Notices::default(),
             capacity: 0,
             stop_at: None,
@@ -136,7 +145,7 @@
 
     // Other processes.
 
-    /// Takes an event of the mesh.
+    /// Handles an event of the mesh.
     pub fn mesh_event(&mut self, cx: CX![], event: mesh::Event) {
         match event {
             mesh::Event::Up(peer, it) if it.role == "entry" && it.dialled.is_none() => {
@@ -162,15 +171,15 @@
         }
     }
 
-    fn declare(&mut self, it: &Catalogue) {
+    fn declare(&mut self, catalogue: &Catalogue) {
         let name = &self.settings.node.name;
-        self.gate.declare(clock::now(), it.siblings(name));
-        self.capacity = it.targets.get(name).map_or(0, |it| it.resource.capacity);
-        self.stop_at = it.stops.get(name).copied();
+        self.gate.declare(clock::now(), catalogue.siblings(name));
+        self.capacity = catalogue.targets.get(name).map_or(0, |it| it.resource.capacity);
+        self.stop_at = catalogue.stops.get(name).copied();
     }
 
     fn message(&mut self, _cx: CX![], peer: PeerKey, body: Body) {
-        let taken = match body {
+        let handled = match body {
             Body::Dispatch(it) => self.dispatch(peer, it),
             Body::Cancel(it) => convert::attempt("cancel", &it.request, it.attempt)
                 .map(|attempt| self.cancel(attempt)),
@@ -186,7 +195,7 @@
                 Ok(())
             }
         };
-        if taken.is_err() {
+        if handled.is_err() {
             self.metrics.ignored(Ignored::BadFrame);
         }
     }
@@ -199,15 +208,15 @@
 
     // Requests.
 
-    fn dispatch(&mut self, peer: PeerKey, it: wire::Dispatch) -> Result<(), convert::Error> {
-        let asked = convert::dispatch(&it)?;
-        let attempt = asked.attempt;
+    fn dispatch(&mut self, peer: PeerKey, dispatch: wire::Dispatch) -> Result<(), convert::Error> {
+        let parsed = convert::dispatch(&dispatch)?;
+        let attempt = parsed.attempt;
         let now = clock::now();
         let notices = &mut self.notices;
-        match self.gate.dispatch_if(now, &asked, || notices.admit(now)) {
+        match self.gate.dispatch_if(now, &parsed, || notices.admit(now)) {
             Decision::Run => {
-                let key = asked.key.filter(|_| asked.unsafe_repeat);
-                self.start(peer, attempt, key, it);
+                let key = parsed.key.filter(|_| parsed.unsafe_repeat);
+                self.start(peer, attempt, key, dispatch);
             }
             Decision::Replay(answer) => self.replay(peer, attempt, &answer),
             Decision::Refuse(reason) => self.refuse(peer, attempt, reason),
@@ -220,18 +229,24 @@
         self.send(Some(peer), convert::refused(attempt, reason));
     }
 
-    fn replay(&self, peer: PeerKey, attempt: AttemptId, it: &Answer) {
-        let head = head_body(attempt, it.status, &it.content_type, true);
+    fn replay(&self, peer: PeerKey, attempt: AttemptId, answer: &Answer) {
+        let head = head_body(attempt, answer.status, &answer.content_type, true);
         self.send(Some(peer), head);
-        self.send_chunk(Some(peer), attempt, 0, &it.body);
-        self.send(Some(peer), done_body(attempt, it.body.len() as u64));
+        self.send_chunk(Some(peer), attempt, 0, &answer.body);
+        self.send(Some(peer), done_body(attempt, answer.body.len() as u64));
     }
 
-    fn start(&mut self, peer: PeerKey, attempt: AttemptId, key: Option<Key>, it: wire::Dispatch) {
+    fn start(
+        &mut self,
+        peer: PeerKey,
+        attempt: AttemptId,
+        key: Option<Key>,
+        dispatch: wire::Dispatch,
+    ) {
         let cancelled = Arc::new(AtomicBool::new(false));
         let active = Active {
             peer: Some(peer),
-            unsafe_repeat: it.unsafe_repeat,
+            unsafe_repeat: dispatch.unsafe_repeat,
             key,
             cancelled: cancelled.clone(),
             head: None,
@@ -245,13 +260,13 @@
         self.metrics.in_flight.set(self.gate.running() as i64);
         let job = Job {
             attempt,
-            method: it.method,
-            path: it.path,
-            content_type: it.content_type,
-            priority: it.priority,
-            customer: it.customer,
+            method: dispatch.method,
+            path: dispatch.path,
+            content_type: dispatch.content_type,
+            priority: dispatch.priority,
+            customer: dispatch.customer,
             sent: clock::now(),
-            body: it.body.to_vec(),
+            body: dispatch.body.to_vec(),
             cancelled,
         };
         if !self.target.spawn(job, self.parts.clone()) {
@@ -260,7 +275,7 @@
         }
     }
 
-    /// Takes a part of an answer from a run's thread.
+    /// Handles a part of an answer from the thread of a run.
     pub fn part(&mut self, _cx: CX![], part: Part) {
         let attempt = part.attempt;
         match part.content {
@@ -324,8 +339,9 @@
             }
             Err(failure) => {
                 if failure.reason == Refusal::EngineAway {
-                    self.unreachable_since = Some(now);
-                    // What refuses connections has ended, and its next life said nothing yet.
+                    self.unreachable_at = Some(now);
+                    // A target that refuses connections has ended. Its next incarnation has not
+                    // announced anything yet.
                     self.notices = Notices::default();
                 }
                 self.metrics.refused(failure.reason);
@@ -341,8 +357,8 @@
         self.check_drained_if_leaving();
     }
 
-    /// Stops an attempt that nobody wants. One with a key runs on, so that
-    /// the same key posted again gets its answer.
+    /// Stops an attempt whose answer no caller awaits. An attempt with an idempotency key
+    /// continues, so that a repeat with the same key receives its answer.
     fn cancel(&mut self, attempt: AttemptId) {
         let Some(active) = self.active.get_mut(&attempt) else {
             return;
@@ -355,6 +371,8 @@
         self.target.cancel(attempt);
     }
 
+    /// Reports the state of an attempt to an entry and sends the answer kept so far. The entry
+    /// receives the rest of the answer from now on.
     fn probe(&mut self, peer: PeerKey, attempt: AttemptId) {
         let state = self.gate.probe(clock::now(), attempt);
         self.send(Some(peer), convert::verdict(attempt, state));
@@ -379,8 +397,8 @@
         }
     }
 
-    /// Contact with an entry is lost: what may run again elsewhere is
-    /// stopped, what must not runs on and its answer is kept.
+    /// Handles the end of a connection. Stops the entry's attempts that may be repeated on another
+    /// target; the others continue and their answers are kept.
     fn down(&mut self, peer: PeerKey) {
         self.entries.down(peer);
         self.agents.remove(&peer);
@@ -405,7 +423,7 @@
     }
 }
 
-/// How an attempt ended, for the gate: a kept answer must be whole.
+/// Returns how an attempt ended, for the gate. Only a complete answer can be replayed.
 fn completion(active: &Active, result: Result<(), Failure>) -> Completion {
     match (result, &active.head) {
         (Err(Failure { ran: Ran::NotRun, .. }), _) => Completion::NotRun,
--- a/crates/sablepass-agent/src/leaving.rs
+++ b/crates/sablepass-agent/src/leaving.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The keeper over time: heartbeats, planned stops, draining.
+//! The keeper's timers and shutdown: heartbeats, planned stops and draining.
 
 use std::time::Duration;
 
@@ -15,28 +15,29 @@
 use crate::keeper::Keeper;
 use crate::target::Load;
 
-/// How long the answer of a request that must not repeat is kept after its end.
+/// Time after its end for which the answer of a request that is not safe to repeat is kept.
 const ENDED_RETENTION: Millis = 60_000;
-/// Ended answers kept at once.
+/// Maximum number of kept answers of ended attempts.
 const MAX_ENDED: usize = 256;
-/// Time between two looks at planned stops and old answers.
+/// Interval at which planned stops and expired answers are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a plain service that refused a connection is left alone.
+/// Back-off after a failed connection to a target that is not a model engine.
 const UNREACHABLE_BACKOFF: Millis = 1_000;
-/// How long a drained agent stays, so that its last frames are sent.
+/// Time from the end of a drain to the exit, so that the last frames are sent.
 const DRAINED_LINGER: Duration = Duration::from_millis(300);
 
 impl Keeper {
-    /// Takes a reading of the engine's load.
+    /// Handles a reading of the engine's load.
     pub fn load(&mut self, _cx: CX![], it: Load) {
         self.load = Some(it);
-        // An engine that answers is back.
-        if self.unreachable_since.is_some_and(|since| it.at > since) {
-            self.unreachable_since = None;
+        // An engine that answers is reachable again.
+        if self.unreachable_at.is_some_and(|since| it.at > since) {
+            self.unreachable_at = None;
             self.report();
         }
     }
 
+    /// Reports to all entries and updates the metrics, at each heartbeat interval.
     pub(crate) fn send_heartbeat(&mut self, cx: CX![]) {
         self.report();
         let (attempts, keys) = self.gate.once_table_len();
@@ -45,6 +46,7 @@
         after!(Duration::from_millis(self.settings.heartbeat), [cx], send_heartbeat());
     }
 
+    /// Reports load and state of the target to all entries.
     pub(crate) fn report(&self) {
         let now = clock::now();
         let (engine_load, load_age) = match self.load {
@@ -57,14 +59,14 @@
             engine_load,
             load_age,
             leaving: self.gate.leaving(),
-            away: self.unreachable_since.is_some(),
+            away: self.unreachable_at.is_some(),
             pace: 0,
             size: 0,
             lag: 0,
             entries: self.entries.count(),
             group: 0,
             stands: false,
-            refuses: self.unreachable_since.is_some(),
+            refuses: self.unreachable_at.is_some(),
             rest: self.notices.remaining_pause(now),
             limit: self.notices.limit().map(Rate::per_second),
         });
@@ -79,6 +81,7 @@
         }
     }
 
+    /// Starts the drain: the gate refuses new attempts and the entries are notified.
     pub(crate) fn leave(&mut self, why: &'static str) {
         if self.gate.leaving() {
             return;
@@ -89,6 +92,7 @@
         self.check_drained();
     }
 
+    /// Marks the agent as drained once no attempt is running.
     pub(crate) fn check_drained(&mut self) {
         if self.drained || self.gate.running() > 0 {
             return;
@@ -104,11 +108,12 @@
         if self.stop_at.is_some_and(|at| now >= at) {
             self.leave("planned stop");
         }
-        // A plain service cannot be asked: it is tried again after a while.
+        // A target that is not an engine reports no load that would show its recovery, so it is
+        // tried again after the back-off.
         if !self.target.is_engine()
-            && self.unreachable_since.is_some_and(|since| now >= since + UNREACHABLE_BACKOFF)
+            && self.unreachable_at.is_some_and(|since| now >= since + UNREACHABLE_BACKOFF)
         {
-            self.unreachable_since = None;
+            self.unreachable_at = None;
             self.report();
         }
         self.drop_ended(now);
@@ -123,6 +128,7 @@
         after!(TICK_INTERVAL, [cx], tick());
     }
 
+    /// Drops the kept answers that have expired or exceed [`MAX_ENDED`].
     pub(crate) fn drop_ended(&mut self, now: Millis) {
         while let Some(attempt) = self.ended.front() {
             let end = self.active.get(attempt).and_then(|it| it.end);
@@ -135,7 +141,7 @@
         }
     }
 
-    /// Takes a signal: on a stop it leaves, and ends when drained.
+    /// Handles a signal. A stop starts the drain; the process exits when it is drained.
     pub fn signal(&mut self, _cx: CX![], signal: runtime::Signal) {
         match signal {
             runtime::Signal::Stop => {
@@ -144,7 +150,8 @@
                 self.check_drained();
             }
             runtime::Signal::Reload => {
-                slog::info!(self.log, "settings kept"; "why" => "an agent takes them at its start");
+                slog::info!(self.log, "settings not reloaded";
+                    "why" => "an agent reads its settings only at startup; restart it");
             }
         }
     }
