--- a/crates/sablepass-agent/src/run.rs
+++ b/crates/sablepass-agent/src/run.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! One request at the target, on its own thread.
+//! Runs one attempt on the target over HTTP, on a thread of its own, and sends the parts of the
+//! answer to the keeper.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -15,29 +16,29 @@
 use sablepass_platform::answer::{self, Limit, Rest};
 use stakker::sync::Channel;
 
-/// Bytes read from the target at once.
+/// Size of the buffer for the answer's body; the maximum size of a part.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What to run.
+/// An attempt to run on the target.
 #[derive(Debug)]
 pub struct Job {
     /// The attempt.
     pub attempt: AttemptId,
     /// HTTP method.
     pub method: String,
-    /// Path.
+    /// Path, appended to the target's base URL.
     pub path: String,
-    /// Content type of the body.
+    /// Content type of the body, or empty.
     pub content_type: String,
-    /// Priority, for an engine.
+    /// Priority; sent to model engines only.
     pub priority: u32,
-    /// Qualified customer.
+    /// Qualified name of the customer.
     pub customer: String,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When it is sent.
+    /// Time at which the attempt was passed to its thread.
     pub sent: Millis,
-    /// Set when nobody wants the answer any more.
+    /// Set when no caller awaits the answer any more.
     pub cancelled: Arc<AtomicBool>,
 }
 
@@ -46,47 +47,48 @@
 pub struct Part {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The part.
+    /// The content of the part.
     pub content: Content,
 }
 
-/// What a target says of itself with an answer.
+/// Pause and limit that a target announces in the headers of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetNotice {
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub sent: Millis,
-    /// How long the target wants nothing more.
+    /// Time for which the target requests a pause.
     pub pause: Option<Millis>,
-    /// What it takes from all entries together.
+    /// Rate of requests that the target accepts from all entries together.
     pub limit: Limit,
 }
 
-/// What a part holds.
+/// Content of a part of an answer.
 #[derive(Debug)]
 pub enum Content {
-    /// The answer begins.
+    /// Start of the answer.
     Head {
         /// HTTP status.
         status: u32,
         /// Content type.
         content_type: String,
-        /// What the target says of itself.
+        /// The target's announcement.
         notice: TargetNotice,
     },
-    /// Bytes.
+    /// Bytes of the body.
     Bytes(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// There will be no whole answer.
+    /// The attempt failed; the answer is missing or incomplete.
     Failed(Failure),
 }
 
-/// The name by which the target knows an attempt.
-pub fn target_request_id(it: AttemptId) -> String {
-    format!("{}-{}", it.request, it.number)
+/// Returns the request ID that identifies an attempt to the target.
+pub fn target_request_id(attempt: AttemptId) -> String {
+    format!("{}-{}", attempt.request, attempt.number)
 }
 
-/// Runs a job to its end.
+/// Runs a job to its end. `read_timeout` limits the wait for the answer's head and for each
+/// read of its body.
 pub fn run(
     agent: &ureq::Agent,
     base: &str,
@@ -149,6 +151,7 @@
     agent.run(request)
 }
 
+/// Decodes the announcement in an answer's headers. An unreadable pause is ignored.
 fn decode_notice(job: &Job, head: ureq::http::response::Parts) -> TargetNotice {
     let meta = answer::decode(clock::now(), &ureq::http::Response::from_parts(head, ()));
     let pause = match meta.rest {
@@ -158,6 +161,7 @@
     TargetNotice { sent: job.sent, pause, limit: meta.limit }
 }
 
+/// Passes the body on in parts. Returns how it ended.
 fn stream_body(
     mut from: impl Read,
     cancelled: &AtomicBool,
@@ -167,7 +171,7 @@
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         if cancelled.load(Ordering::Relaxed) {
-            // Dropping the reader closes the connection, which stops the engine.
+            // Dropping the reader closes the connection, which cancels the request on the engine.
             return failed(Refusal::CallerGone);
         }
         match from.read(&mut buffer) {
@@ -179,7 +183,8 @@
     }
 }
 
-/// Only a connection that was never made proves that nothing ran.
+/// Classifies a failed call. Only a connection that was never established proves that the
+/// target did not run the request.
 fn classify_error(e: &ureq::Error) -> Failure {
     let never_sent = match e {
         ureq::Error::ConnectionFailed
