--- a/crates/sablepass-agent/src/answers.rs
+++ b/crates/sablepass-agent/src/answers.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a keeper answers to operators: readiness, status, its group.
+//! Operator queries to the agent of a gated target: readiness, status and its group.
 
 use sablepass_edge::admin::{self, Ask};
 use stakker::{CX, call, ret_some_do};
