--- a/crates/sablepass-agent/src/engine.rs
+++ b/crates/sablepass-agent/src/engine.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Calls to the replica beside this agent, one after the other on one
-//! connection, so that what an account shows is after every order before it.
+//! The actor that makes calls to the replica of this agent. Calls run one after the other on
+//! one connection, so that a report reflects every order that was issued before it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,28 +12,28 @@
 use sablepass_platform::engine;
 use stakker::{ActorOwn, CX, Fwd, actor_new, call, fwd_to, ret_nop};
 
-/// How long a reading may take. It does not leave the machine.
+/// Timeout of a reading, which stays on the machine.
 const READ_TIMEOUT: Duration = Duration::from_millis(120);
-/// How long an order may take: an answer comes within three milliseconds or not
-/// at all, and while it is waited for a step may be held.
+/// Timeout of an order. An answer arrives within 3 ms or not at all, and a step may be held
+/// while the agent waits for it.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(25);
-/// Calls that wait at most; readings beyond it are not made.
+/// Number of queued calls from which readings are dropped; orders are always queued.
 const MAX_QUEUED_CALLS: usize = 16;
-/// Longest answer: the counts of some thousand experts.
+/// Maximum size of an answer, enough for the counts of several thousand experts.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// A call.
+/// A call to the replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Its account of itself.
+    /// Read its report.
     Report,
-    /// The counts of chosen experts.
+    /// Read the counts of chosen experts.
     Counts,
-    /// The experts that it holds.
+    /// Read the experts that it holds.
     Lists,
-    /// An order of the switch.
+    /// Send an order of the switch protocol.
     Order(Vec<u8>),
-    /// The order to prepare a map.
+    /// Send the order to prepare a map.
     Prepare(Vec<u8>),
 }
 
@@ -54,10 +54,10 @@
     }
 }
 
-/// How a call ended. Without an answer, nobody knows whether an order was taken.
+/// Result of a call. Without an answer it is unknown whether an order was accepted.
 pub type CallResult = Result<Answer, caller::Error>;
 
-/// The actor.
+/// The actor that makes the calls.
 pub struct Engine {
     owner: Fwd<(Call, CallResult)>,
     caller: ActorOwn<Caller>,
@@ -66,7 +66,7 @@
 }
 
 impl Engine {
-    /// Opens without a connection.
+    /// Creates the actor without a connection. `owner` receives each call with its result.
     pub fn init(cx: CX![], target: SocketAddr, owner: Fwd<(Call, CallResult)>) -> Option<Self> {
         let caller = actor_new!(cx, Caller, ret_nop!());
         let answers = fwd_to!([cx], on_answer() as (CallResult));
@@ -74,8 +74,7 @@
         Some(Self { owner, caller, waiting: VecDeque::new(), current: None })
     }
 
-    /// Makes a call after those before it. A reading that already waits is
-    /// not made twice.
+    /// Queues a call. A reading that is already queued is not queued again.
     pub fn enqueue(&mut self, _cx: CX![], call: Call) {
         let skip = self.waiting.contains(&call) || self.waiting.len() >= MAX_QUEUED_CALLS;
         if skip && !call.is_order() {
