--- a/crates/sablepass-agent/src/main.rs
+++ b/crates/sablepass-agent/src/main.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The agent beside each target. Every dispatch passes its [`gate`], and what
-//! the gate lets through runs at the target on a thread of its own. Where
-//! entries send requests straight to targets, it only observes its target.
+//! The agent of a target, on the target's machine. For a gated target, every dispatch passes
+//! the agent's [`gate`], and each admitted one runs on the target from a thread of its own. For
+//! a direct target, to which entries send requests over HTTP, the agent only observes it.
 //!
 //! [`gate`]: sablepass_core::gate
 
@@ -39,7 +39,11 @@
 use crate::observer::Observer;
 
 fn main() -> ExitCode {
-    daemon::main("sablepass-agent", "Guards the target it stands beside", run)
+    daemon::main(
+        "sablepass-agent",
+        "Runs beside a target, admits its requests and reports its state",
+        run,
+    )
 }
 
 fn run(settings: settings::Settings, _: PathBuf) -> Result<(), daemon::Error> {
@@ -49,7 +53,7 @@
     }
 }
 
-/// Runs the agent of a target that takes requests straight from entries.
+/// Runs the agent of a direct target.
 fn observe(settings: settings::Settings, target: SocketAddr) -> Result<(), daemon::Error> {
     let base = Base::open(&settings.node, Role::Agent)?;
     runtime::run::<_, daemon::Error>(|s| {
@@ -69,7 +73,7 @@
     })
 }
 
-/// Runs the agent of a target whose requests pass its gate.
+/// Runs the agent of a gated target.
 fn guard(settings: settings::Settings) -> Result<(), daemon::Error> {
     let base = Base::open(&settings.node, Role::Agent)?;
     runtime::run::<_, daemon::Error>(|s| {
