--- a/crates/sablepass-agent/src/memory.rs
+++ b/crates/sablepass-agent/src/memory.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What an agent remembers for entries that start anew: the requests that are
-//! held back because targets end under them. It decides nothing by it.
+//! Cache of the suspects, requests under which targets end, for entries that restart. The agent
+//! makes no decisions based on it.
 
 use sablepass_core::id::Millis;
 use sablepass_core::suspects::Suspects;
@@ -11,29 +11,30 @@
 use sablepass_wire::generated::frame::Body;
 use sablepass_wire::suspects::Told;
 
-/// The memory.
+/// The deaths reported by entries.
 #[derive(Debug, Default)]
 pub struct SuspectCache {
     suspects: Suspects,
 }
 
 impl SuspectCache {
-    /// Takes what an entry tells.
-    pub fn update(&mut self, now: Millis, it: wire::Suspects) -> Result<(), Error> {
-        let told = Told::parse(it)?;
-        for (request, death) in told.deaths {
+    /// Applies the deaths and cleared requests that an entry reported.
+    pub fn update(&mut self, now: Millis, message: wire::Suspects) -> Result<(), Error> {
+        let report = Told::parse(message)?;
+        for (request, death) in report.deaths {
             self.suspects.record(now, request, death);
         }
-        for request in told.sound {
+        for request in report.sound {
             self.suspects.clear(now, request);
         }
         Ok(())
     }
 
-    /// What an entry is told that has just connected, if there is anything.
+    /// Returns the message for an entry that has just connected, or `None` if no request is
+    /// blocked.
     pub fn message(&self, now: Millis) -> Option<Body> {
-        let held = self.suspects.blocked(now).map(|(it, death)| (it, death.clone()));
-        let told = Told { deaths: held.collect(), sound: Vec::new() };
-        (!told.is_empty()).then(|| told.body())
+        let blocked = self.suspects.blocked(now).map(|(it, death)| (it, death.clone()));
+        let report = Told { deaths: blocked.collect(), sound: Vec::new() };
+        (!report.is_empty()).then(|| report.body())
     }
 }
