--- a/crates/sablepass-agent/src/notices.rs
+++ b/crates/sablepass-agent/src/notices.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the target beside this agent said of itself: that it wants to rest, and how many
-//! requests a second it takes.
+//! Pause and rate limit that the target of this agent announced. The keeper checks them before
+//! it starts a run, and reports them to the entries.
 
 use sablepass_core::id::{AttemptId, Millis};
 use sablepass_core::limits::{self, Bucket, Change, Rate};
@@ -13,13 +13,13 @@
 use crate::keeper::Keeper;
 use crate::run::TargetNotice;
 
-/// What it said.
+/// Pause and limit of the target.
 #[derive(Debug)]
 pub(crate) struct Notices {
-    /// Until when it wants nothing: the latest end that it named.
+    /// End of the pause: the latest that the target announced.
     paused_until: Millis,
     limit: Option<limits::Limit>,
-    /// What may be sent under the limit.
+    /// Token bucket for requests under the limit.
     bucket: Bucket,
 }
 
@@ -30,7 +30,8 @@
 }
 
 impl Notices {
-    /// Whether it takes one more request now. All that run go through this agent.
+    /// Takes permission for one more request, or returns why the target accepts none now. All
+    /// requests that run on the target pass through this agent.
     pub(crate) fn admit(&mut self, now: Millis) -> Result<(), Refusal> {
         if now < self.paused_until {
             return Err(Refusal::TargetRests);
@@ -41,17 +42,18 @@
         Ok(())
     }
 
-    /// How much longer it rests.
+    /// Returns the remaining time of the pause, or 0.
     pub(crate) fn remaining_pause(&self, now: Millis) -> Millis {
         self.paused_until.saturating_sub(now)
     }
 
-    /// What it takes a second, if it names a limit.
+    /// Returns the announced limit, if there is one.
     pub(crate) fn limit(&self) -> Option<Rate> {
         self.limit.map(|it| it.rate())
     }
 
-    /// Takes an answer that names a limit, or none. What changed.
+    /// Updates the limit from an answer that announces one, or none. `sent` is the time of its
+    /// request. Returns the change.
     fn on_answer(&mut self, now: Millis, sent: Millis, named: Option<Rate>) -> Change {
         let before = self.limit();
         let change = match (&mut self.limit, named) {
@@ -73,13 +75,13 @@
 }
 
 impl Keeper {
-    /// Takes what the target says of itself with an answer, and tells the entries what is new.
-    pub(crate) fn on_notice(&mut self, attempt: AttemptId, it: TargetNotice) {
+    /// Handles the target's announcement in an answer, and reports changes to the entries.
+    pub(crate) fn on_notice(&mut self, attempt: AttemptId, notice: TargetNotice) {
         let now = clock::now();
-        if let Some(pause) = it.pause {
+        if let Some(pause) = notice.pause {
             self.pause_target(now, attempt, pause);
         }
-        let named = match it.limit {
+        let named = match notice.limit {
             Limit::Of(rate) => Some(rate),
             Limit::None => None,
             Limit::Unread => {
@@ -87,20 +89,22 @@
                 return;
             }
         };
-        match self.notices.on_answer(now, it.sent, named) {
+        match self.notices.on_answer(now, notice.sent, named) {
             Change::None => return,
-            Change::Set(rate) => slog::info!(self.log, "limit holds"; "limit" => rate.per_second(),
+            Change::Set(rate) => slog::info!(self.log, "limit set"; "limit" => rate.per_second(),
                 "request" => %attempt.request, "attempt" => attempt.number),
-            Change::Ended => slog::info!(self.log, "limit ends"; "request" => %attempt.request,
+            Change::Ended => slog::info!(self.log, "limit ended"; "request" => %attempt.request,
                 "attempt" => attempt.number),
         }
         self.report();
     }
 
-    /// Leaves the target alone for as long as it asked, and tells the entries.
+    /// Sends the target no requests for the time that it requested, and reports that to the
+    /// entries.
     fn pause_target(&mut self, now: Millis, attempt: AttemptId, pause: Millis) {
-        slog::info!(self.log, "target rests"; "request" => %attempt.request,
-            "attempt" => attempt.number, "rest" => pause, "begins" => now >= self.notices.paused_until);
+        slog::info!(self.log, "target requested a pause"; "request" => %attempt.request,
+            "attempt" => attempt.number, "rest" => pause,
+            "begins" => now >= self.notices.paused_until);
         self.notices.paused_until = self.notices.paused_until.max(now.saturating_add(pause));
         self.report();
     }
