--- a/crates/sablepass-agent/src/orders.rs
+++ b/crates/sablepass-agent/src/orders.rs
@@ -1,12 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Orders to the engine of a group, and readings of it, over HTTP.
+//! Orders to the engine of a group, and readings of its state, over HTTP; used by
+//! [`Group`](crate::group::Group).
 //!
-//! Two threads: orders are carried out one after the other, and loading the
-//! weights of a map may take long; readings go on meanwhile. Each order ends
-//! in a reading of the register, however often that has to be tried: the
-//! register alone says what became of the order.
+//! One thread executes orders one after the other; loading the weights of a map may take long.
+//! A second thread makes readings meanwhile. Each order ends with a reading of the register,
+//! retried until it succeeds: only the register shows the outcome of the order.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,30 +18,30 @@
 use serde_json::json;
 use stakker::sync::Channel;
 
-/// How long an order may take: loading weights from a slow store.
+/// Timeout of an order, which may load weights from slow storage.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a reading may take.
+/// Timeout of a reading.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait before a failed reading is tried again.
+/// Delay before a failed reading is retried.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What the threads are told.
+/// A command to the thread that executes orders.
 #[derive(Debug)]
 pub enum Command {
-    /// Carry out an order, with the map that an arm order loads.
+    /// Execute an order. The bytes are the map to load; empty except for [`Order::Arm`].
     Order(Order, Vec<u8>),
     /// Read the map in force.
     Map,
 }
 
-/// What the engine said.
+/// A reading of the engine.
 #[derive(Debug)]
 pub enum EngineEvent {
-    /// Its register, at any time.
+    /// The register, from a periodic reading.
     Register(Register),
-    /// Its register, after an order.
+    /// The register after an order.
     Done(Register),
-    /// Late counts: the step, and tokens a step by layer and expert.
+    /// Recent counts: the step, and tokens per step by layer and expert.
     Counts(u64, Vec<Vec<f64>>),
     /// The bytes of the map in force.
     Map(Vec<u8>),
@@ -53,7 +53,7 @@
     tokens: Vec<Vec<f64>>,
 }
 
-/// A handle on both threads. Dropping it ends them.
+/// Handle of both threads. Dropping it ends them.
 pub struct Orders {
     commands: mpsc::Sender<Command>,
     readings: mpsc::SyncSender<bool>,
@@ -68,7 +68,7 @@
 }
 
 impl Orders {
-    /// Starts the threads. Orders carry `fence`, which grows from agent to agent.
+    /// Starts the threads. Orders carry `fence`, which increases from one agent to its successor.
     pub fn spawn(base: &str, fence: u64, events: Channel<EngineEvent>) -> Self {
         let base = base.trim_end_matches('/').to_owned();
         let engine = || EngineClient {
@@ -94,21 +94,21 @@
         Self { commands, readings, map_pending }
     }
 
-    /// Gives a command.
+    /// Queues a command.
     pub fn send(&self, it: Command) {
-        // The thread ends only when this handle does.
+        // Cannot fail: the thread ends only when this handle is dropped.
         let _ = self.commands.send(it);
     }
 
-    /// Asks for the map, unless that is under way.
+    /// Queues the command to read the map, unless one is pending.
     pub fn send_once(&self, it: Command) {
         if !self.map_pending.swap(true, Ordering::Relaxed) {
             self.send(it);
         }
     }
 
-    /// Asks for a reading of the register, with the counts or without. False
-    /// if one is waiting already.
+    /// Requests a reading of the register, and of the counts if `counts` is set. Returns false if a
+    /// reading is already queued.
     pub fn read(&self, counts: bool) -> bool {
         self.readings.try_send(counts).is_ok()
     }
@@ -156,7 +156,7 @@
         let body = json!({ "fence": self.fence, "order": order, "map": map }).to_string();
         let url = format!("{}/order", self.base);
         let request = self.agent.post(url).config().timeout_global(Some(ORDER_TIMEOUT)).build();
-        // Whether it was obeyed is read from the register.
+        // The outcome is read from the register.
         let _ = request.header("content-type", "application/json").send(body.as_str());
     }
 }
