--- a/crates/sablepass-agent/src/settings.rs
+++ b/crates/sablepass-agent/src/settings.rs
@@ -1,50 +1,51 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Settings of an agent.
+//! Settings of an agent, read from its settings file at startup.
 
 use sablepass_core::{gate, once};
 use sablepass_edge::settings::{self, Checker, Error};
 use serde::Deserialize;
 
-/// The file.
+/// The settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The process as one of many. Its name is the target's qualified name.
+    /// Settings common to all processes. The node's name is the target's qualified name.
     pub node: settings::Node,
     /// Base URL of the target.
     pub target: String,
-    /// Whether entries send this target's requests through the agent's gate.
-    /// If not, they send them straight to the target, and the agent reads its
-    /// load and tells it to them. Default true.
+    /// Whether entries send this target's requests through the agent's gate. If not, they send
+    /// them directly to the target over HTTP, and the agent reads the target's load and reports
+    /// it to them. Default true.
     #[serde(default = "default_gate")]
     pub gate: bool,
-    /// Whether the target is a model engine: it then takes priorities and
-    /// cancels, and reports its load. Default true.
+    /// Whether the target is a model engine, which accepts priorities and cancellations and
+    /// reports its load. Default true.
     #[serde(default = "default_engine")]
     pub engine: bool,
-    /// Requests that run or wait at the target at once. Default 256.
+    /// Maximum number of requests that run or wait on the target. Default 256.
     #[serde(default = "default_limit")]
     pub limit: usize,
-    /// Milliseconds between two heartbeats. Default 1,000.
+    /// Heartbeat interval, in milliseconds. Default 1,000.
     #[serde(default = "default_heartbeat")]
     pub heartbeat: u64,
-    /// Milliseconds that attempts and finished keys are remembered. Default 600,000.
+    /// Retention of attempts and finished idempotency keys, in milliseconds. Default 600,000.
     #[serde(default = "default_keep")]
     pub keep: u64,
-    /// Milliseconds that an agent may lag behind a change of key owners. Default 10,000.
+    /// Maximum delay with which an agent learns of a change of key owners, in milliseconds.
+    /// Default 10,000.
     #[serde(default = "default_handover")]
     pub handover: u64,
-    /// Milliseconds that the target may be silent within an answer. Default 60,000.
+    /// Timeout of each read of an answer, in milliseconds. Default 60,000.
     #[serde(default = "default_read")]
     pub read: u64,
-    /// Without a gate: whether the agent keeps its rank's share of its group's
-    /// expert map. Takes engines that check fences. Default true.
+    /// Without a gate: whether the agent takes part in switches of its group's expert map.
+    /// Requires engines that check fences. Default true.
     #[serde(default = "default_gate")]
     pub keeps_maps: bool,
-    /// Mbit/s of the machine's link, of which a planner takes half for counts of
-    /// chosen experts. Default 1,000.
+    /// Bandwidth of the machine's network link, in Mbit/s. A planner uses half of it for expert
+    /// counts. Default 1,000.
     #[serde(default = "default_link")]
     pub link: f64,
 }
@@ -104,7 +105,7 @@
 }
 
 impl Settings {
-    /// Options of the gate.
+    /// Returns the options of the gate.
     pub fn gate(&self) -> gate::Options {
         let once = once::Options { retention: self.keep, ..once::Options::default() };
         let (max_requests, handover_margin) = (self.limit, self.handover);
