--- a/crates/sablepass-agent/src/target.rs
+++ b/crates/sablepass-agent/src/target.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The target beside this agent, over HTTP: calls, cancels and load.
+//! HTTP client of the target of this agent: runs attempts, cancels them, and reads the load.
 
 use std::sync::Arc;
 use std::sync::mpsc;
@@ -15,32 +15,34 @@
 use crate::run::{self, Job, Part};
 use crate::settings::Settings;
 
-/// Time between two readings of an engine's load.
+/// Interval between readings of an engine's load.
 const LOAD_INTERVAL: Duration = Duration::from_millis(500);
-/// How long connecting to the target, or a reading of its load, may take.
+/// Timeout for connecting to the target, for reading its load, and for a cancellation.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Buffers of one call, each way. The library's own are sixteen times as large
-/// and made a run cost 300 KB.
+/// Size of a call's input buffer and of its output buffer. The library's default is sixteen
+/// times as large, at which a run takes 300 KB.
 const BUFFER_BYTES: usize = 8 * 1024;
-/// Stack of a run's thread.
+/// Stack size of the thread of a run.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// The engine's own account of its load.
+/// Load that the engine reported.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Requests that run or wait there.
+    /// Number of requests that run or wait on the engine.
     pub requests: u32,
-    /// When it was read.
+    /// Time of the reading.
     pub at: Millis,
 }
 
+/// Body of the engine's answer to a load query.
 #[derive(Debug, Deserialize)]
 struct LoadAnswer {
     running: u32,
     waiting: u32,
 }
 
-/// A handle on the target. Dropping it ends its threads.
+/// Handle of the target. Dropping it ends the threads that read the load and send
+/// cancellations.
 pub struct Target {
     agent: ureq::Agent,
     base: Arc<str>,
@@ -50,7 +52,8 @@
 }
 
 impl Target {
-    /// Opens the handle and, for an engine, starts to read its load.
+    /// Creates the handle and, for an engine, starts the threads that read its load and cancel
+    /// attempts.
     pub fn open(settings: &Settings, loads: Channel<Load>) -> Self {
         let config = ureq::Agent::config_builder()
             .timeout_connect(Some(CONTROL_TIMEOUT))
@@ -70,21 +73,21 @@
         Self { agent, base, engine: settings.engine, read, cancels }
     }
 
-    /// Whether it is a model engine.
+    /// Returns whether the target is a model engine.
     pub fn is_engine(&self) -> bool {
         self.engine
     }
 
-    /// Asks the engine to stop an attempt.
+    /// Requests that the engine stop an attempt. Does nothing if the target is not an engine.
     pub fn cancel(&self, it: AttemptId) {
         if self.engine {
-            // The thread ends only when this handle does.
+            // Cannot fail: the thread ends only when this handle is dropped.
             let _ = self.cancels.send(it);
         }
     }
 
-    /// Runs a job on a thread; its parts go to the channel. False if there
-    /// could be no thread.
+    /// Runs a job on a thread of its own, which sends the parts of the answer to `parts`. Returns
+    /// false if no thread could be created.
     pub fn spawn(&self, job: Job, parts: Channel<Part>) -> bool {
         let (agent, base, engine, read) =
             (self.agent.clone(), self.base.clone(), self.engine, self.read);
@@ -116,7 +119,8 @@
         while let Ok(it) = cancel_rx.recv() {
             let url = format!("{base}/v1/cancel");
             let request = agent.post(&url).config().timeout_global(Some(CONTROL_TIMEOUT)).build();
-            // The thread of the run also closes its connection; either is enough.
+            // A failure can be ignored: the thread of the run also closes its connection, and
+            // either of the two cancels the request.
             let _ = request.header("x-request-id", &run::target_request_id(it)).send_empty();
         }
     });
