--- a/crates/sablepass-agent/src/leaving.rs
+++ b/crates/sablepass-agent/src/leaving.rs
@@ -28,10 +28,10 @@
 
 impl Keeper {
     /// Handles a reading of the engine's load.
-    pub fn load(&mut self, _cx: CX![], it: Load) {
-        self.load = Some(it);
+    pub fn load(&mut self, _cx: CX![], load: Load) {
+        self.load = Some(load);
         // An engine that answers is reachable again.
-        if self.unreachable_at.is_some_and(|since| it.at > since) {
+        if self.unreachable_at.is_some_and(|since| load.at > since) {
             self.unreachable_at = None;
             self.report();
         }
--- a/crates/sablepass-agent/src/orders.rs
+++ b/crates/sablepass-agent/src/orders.rs
@@ -95,15 +95,15 @@
     }
 
     /// Queues a command.
-    pub fn send(&self, it: Command) {
+    pub fn send(&self, command: Command) {
         // Cannot fail: the thread ends only when this handle is dropped.
-        let _ = self.commands.send(it);
+        let _ = self.commands.send(command);
     }
 
     /// Queues the command to read the map, unless one is pending.
-    pub fn send_once(&self, it: Command) {
+    pub fn send_once(&self, command: Command) {
         if !self.map_pending.swap(true, Ordering::Relaxed) {
-            self.send(it);
+            self.send(command);
         }
     }
 
@@ -123,29 +123,29 @@
     }
 
     fn read(&self, counts: bool) {
-        if let Some(it) = self.get("/state") {
-            self.events.send(EngineEvent::Register(it));
+        if let Some(register) = self.get("/state") {
+            self.events.send(EngineEvent::Register(register));
         }
         if counts && let Some(Counts { step, tokens }) = self.get("/experts") {
             self.events.send(EngineEvent::Counts(step, tokens));
         }
     }
 
-    fn carry_out(&self, it: Command, map_pending: &AtomicBool) {
-        match it {
+    fn carry_out(&self, command: Command, map_pending: &AtomicBool) {
+        match command {
             Command::Order(order, map) => {
                 self.order(order, &map);
                 while !self.events.is_closed() {
-                    if let Some(it) = self.get("/state") {
-                        self.events.send(EngineEvent::Done(it));
+                    if let Some(register) = self.get("/state") {
+                        self.events.send(EngineEvent::Done(register));
                         return;
                     }
                     std::thread::sleep(READ_RETRY_DELAY);
                 }
             }
             Command::Map => {
-                if let Some(it) = self.get("/map") {
-                    self.events.send(EngineEvent::Map(it));
+                if let Some(map) = self.get("/map") {
+                    self.events.send(EngineEvent::Map(map));
                 }
                 map_pending.store(false, Ordering::Relaxed);
             }
--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -126,8 +126,8 @@
         self.update_lag();
         self.calibrate(now);
         if let Some(why) = self.drop_reason(now, shifted) {
-            let it = self.proposed.take();
-            slog::warn!(self.log, "proposed map dropped"; "version" => it.map(|it| it.version),
+            let dropped = self.proposed.take();
+            slog::warn!(self.log, "proposed map dropped"; "version" => dropped.map(|it| it.version),
                 "why" => ?why);
             if why == DropReason::Late {
                 self.highest_version += VERSION_JUMP;
@@ -147,9 +147,9 @@
         if obstacle.is_some() || self.is_search_backed_off(now) {
             return Vec::new();
         }
-        if let Some(it) = self.decide(now) {
+        if let Some(change) = self.decide(now) {
             let cause = self.cause();
-            return self.propose(now, &it, cause);
+            return self.propose(now, &change, cause);
         }
         match self.fill_spare_slots() {
             Some(it) => self.propose(now, &it, Cause::Idle),
@@ -187,19 +187,19 @@
 
     /// Returns why the proposed map has become useless, or `None` if it has not.
     fn drop_reason(&self, now: Millis, shifted: bool) -> Option<DropReason> {
-        let it = self.proposed.as_ref()?;
-        if self.group.as_ref().is_some_and(|group| group.reading.version >= it.version) {
+        let proposed = self.proposed.as_ref()?;
+        if self.group.as_ref().is_some_and(|group| group.reading.version >= proposed.version) {
             return None;
         }
         let free = self.member.as_ref().is_some_and(Member::is_free);
-        if it.switching {
+        if proposed.switching {
             // The switch has ended and this version is not in force, so it failed.
             return free.then_some(DropReason::Refused);
         }
         if shifted {
             return Some(DropReason::Shifted);
         }
-        (now >= it.deadline).then_some(DropReason::Late)
+        (now >= proposed.deadline).then_some(DropReason::Late)
     }
 
     /// Returns the obstacle to planning, if any.
@@ -221,19 +221,19 @@
 
     /// Logs and counts an obstacle once it has lasted for [`OBSTACLE_LOG_DELAY`].
     fn log_obstacle(&mut self, now: Millis, obstacle: Option<Obstacle>) {
-        let Some(it) = obstacle else {
+        let Some(obstacle) = obstacle else {
             self.obstacle = None;
             return;
         };
-        let (known, since, logged) = *self.obstacle.get_or_insert((it, now, false));
-        if known != it {
-            self.obstacle = Some((it, now, false));
+        let (known, since, logged) = *self.obstacle.get_or_insert((obstacle, now, false));
+        if known != obstacle {
+            self.obstacle = Some((obstacle, now, false));
         } else if !logged && now >= since + OBSTACLE_LOG_DELAY {
             let ranks: Vec<u16> = self.silent_ranks(now);
-            self.metrics.plans.with_label_values(&[it.label()]).inc();
-            slog::warn!(self.log, "planner is blocked"; "why" => ?it, "silent_ranks" => ?ranks,
-                "member" => ?self.member.as_ref().map(|it| (it.plan(), it.reading().copied())));
-            self.obstacle = Some((it, since, true));
+            self.metrics.plans.with_label_values(&[obstacle.label()]).inc();
+            slog::warn!(self.log, "planner is blocked"; "why" => ?obstacle,
+                "silent_ranks" => ?ranks, "member" => ?self.member.as_ref().map(|it| (it.plan(), it.reading().copied())));
+            self.obstacle = Some((obstacle, since, true));
         }
     }
 
@@ -345,28 +345,29 @@
         list
     }
 
-    /// Proposes the switch once all ranks have prepared the map.
+    /// Proposes the switch once all ranks have prepared the map. Ends the proposal once its map is
+    /// in force.
     pub(super) fn try_switch(&mut self, now: Millis) -> Vec<Action> {
-        let (Some(group), Some(member), Some(it)) =
+        let (Some(group), Some(member), Some(proposed)) =
             (&self.group, &mut self.member, &mut self.proposed)
         else {
             return Vec::new();
         };
-        let version = it.version;
+        let version = proposed.version;
         let epoch = group.reading.epoch;
         let ready = |it: &&RankStatus| it.prepared == version && it.epoch == epoch;
         let others = self.ranks.values().filter(ready).count();
         let all = group.reading.prepared == Some(version) && others + 1 == usize::from(group.size);
         if group.reading.version >= version {
-            self.calibration.map_applied(now, it.lag);
+            self.calibration.map_applied(now, proposed.lag);
             self.outdated = false;
             self.proposed = None;
             return Vec::new();
         }
-        if !all || it.switching || !member.is_free() {
+        if !all || proposed.switching || !member.is_free() {
             return Vec::new();
         }
-        it.switching = true;
+        proposed.switching = true;
         let steps = self.ranks.values().filter(|it| it.epoch == epoch).map(|it| it.step);
         let known = steps.max().unwrap_or(0);
         let own_unanswered = self.last_unanswered_at.is_some_and(|at| now < at + UNANSWERED_WINDOW);
--- a/crates/sablepass-agent/src/target.rs
+++ b/crates/sablepass-agent/src/target.rs
@@ -79,10 +79,10 @@
     }
 
     /// Requests that the engine stop an attempt. Does nothing if the target is not an engine.
-    pub fn cancel(&self, it: AttemptId) {
+    pub fn cancel(&self, attempt: AttemptId) {
         if self.engine {
             // Cannot fail: the thread ends only when this handle is dropped.
-            let _ = self.cancels.send(it);
+            let _ = self.cancels.send(attempt);
         }
     }
 
