--- a/crates/sablepass-agent/src/ranks/planner.rs
+++ b/crates/sablepass-agent/src/ranks/planner.rs
@@ -232,7 +232,8 @@
             let ranks: Vec<u16> = self.silent_ranks(now);
             self.metrics.plans.with_label_values(&[obstacle.label()]).inc();
             slog::warn!(self.log, "planner is blocked"; "why" => ?obstacle,
-                "silent_ranks" => ?ranks, "member" => ?self.member.as_ref().map(|it| (it.plan(), it.reading().copied())));
+                "silent_ranks" => ?ranks,
+                "member" => ?self.member.as_ref().map(|it| (it.plan(), it.reading().copied())));
             self.obstacle = Some((obstacle, since, true));
         }
     }
