--- a/crates/sablepass-agent/src/answers.rs
+++ b/crates/sablepass-agent/src/answers.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a keeper answers to operators: readiness, status, its group.
+//! Operator queries to the agent of a gated target: readiness, status and its group.
 
 use sablepass_edge::admin::{self, Ask};
 use stakker::{CX, call, ret_some_do};
@@ -35,7 +35,7 @@
     fn status(&self, reply: admin::Asker) {
         let (leaving, drained) = (self.gate.leaving(), self.drained);
         let (running, capacity, engine) =
-            (self.gate.running(), self.capacity, self.target.engine());
+            (self.gate.running(), self.capacity, self.target.is_engine());
         let ret = ret_some_do!(move |mesh: serde_json::Value| {
             let mut status = mesh;
             status["role"] = "agent".into();
--- a/crates/sablepass-agent/src/engine.rs
+++ b/crates/sablepass-agent/src/engine.rs
@@ -1,103 +1,102 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Calls to the replica beside this agent, one after the other on one
-//! connection, so that what an account shows is after every order before it.
+//! The actor that makes calls to the replica of this agent. Calls run one after the other on
+//! one connection, so that a report reflects every order that was issued before it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sablepass_edge::caller::{self, Answer, Call, Caller};
+use sablepass_edge::caller::{self, Answer, Call as HttpCall, Caller};
 use sablepass_platform::engine;
 use stakker::{ActorOwn, CX, Fwd, actor_new, call, fwd_to, ret_nop};
 
-/// How long a reading may take. It does not leave the machine.
-const CALL_TIME: Duration = Duration::from_millis(120);
-/// How long an order may take: an answer comes within three milliseconds or not
-/// at all, and while it is waited for a step may be held.
-const ORDER_TIME: Duration = Duration::from_millis(25);
-/// Calls that wait at most; readings beyond it are not made.
-const QUEUE: usize = 16;
-/// Longest answer: the counts of some thousand experts.
-const ANSWER_LIMIT: usize = 4 << 20;
+/// Timeout of a reading, which stays on the machine.
+const READ_TIMEOUT: Duration = Duration::from_millis(120);
+/// Timeout of an order. An answer arrives within 3 ms or not at all, and a step may be held
+/// while the agent waits for it.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(25);
+/// Number of queued calls from which readings are dropped; orders are always queued.
+const MAX_QUEUED_CALLS: usize = 16;
+/// Maximum size of an answer, enough for the counts of several thousand experts.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// A call.
+/// A call to the replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// Its account of itself.
+pub enum Call {
+    /// Read its report.
     Report,
-    /// The counts of chosen experts.
+    /// Read the counts of chosen experts.
     Counts,
-    /// The experts that it holds.
+    /// Read the experts that it holds.
     Lists,
-    /// An order of the switch.
+    /// Send an order of the switch protocol.
     Order(Vec<u8>),
-    /// The order to prepare a map.
+    /// Send the order to prepare a map.
     Prepare(Vec<u8>),
 }
 
-impl Ask {
+impl Call {
     fn is_order(&self) -> bool {
         matches!(self, Self::Order(_) | Self::Prepare(_))
     }
 
-    fn call(&self) -> Call {
+    fn call(&self) -> HttpCall {
         match self {
-            Self::Report => Call::get(engine::REPORT_PATH, CALL_TIME),
-            Self::Counts => Call::get(engine::PICKED_PATH, CALL_TIME),
-            Self::Lists => Call::get(engine::LISTS_PATH, CALL_TIME),
+            Self::Report => HttpCall::get(engine::REPORT_PATH, READ_TIMEOUT),
+            Self::Counts => HttpCall::get(engine::PICKED_PATH, READ_TIMEOUT),
+            Self::Lists => HttpCall::get(engine::LISTS_PATH, READ_TIMEOUT),
             Self::Order(body) | Self::Prepare(body) => {
-                Call::post(engine::ORDER_PATH, body.clone(), ORDER_TIME)
+                HttpCall::post(engine::ORDER_PATH, body.clone(), ORDER_TIMEOUT)
             }
         }
     }
 }
 
-/// How a call ended. Without an answer, nobody knows whether an order was taken.
-pub type Heard = Result<Answer, caller::Error>;
+/// Result of a call. Without an answer it is unknown whether an order was accepted.
+pub type CallResult = Result<Answer, caller::Error>;
 
-/// The actor.
+/// The actor that makes the calls.
 pub struct Engine {
-    owner: Fwd<(Ask, Heard)>,
+    owner: Fwd<(Call, CallResult)>,
     caller: ActorOwn<Caller>,
-    waiting: VecDeque<Ask>,
-    current: Option<Ask>,
+    waiting: VecDeque<Call>,
+    current: Option<Call>,
 }
 
 impl Engine {
-    /// Opens without a connection.
-    pub fn init(cx: CX![], target: SocketAddr, owner: Fwd<(Ask, Heard)>) -> Option<Self> {
+    /// Creates the actor without a connection. `owner` receives each call with its result.
+    pub fn init(cx: CX![], target: SocketAddr, owner: Fwd<(Call, CallResult)>) -> Option<Self> {
         let caller = actor_new!(cx, Caller, ret_nop!());
-        let answers = fwd_to!([cx], heard() as (Heard));
-        call!([caller], Caller::init(target, ANSWER_LIMIT, answers));
+        let answers = fwd_to!([cx], on_answer() as (CallResult));
+        call!([caller], Caller::init(target, MAX_ANSWER_BYTES, answers));
         Some(Self { owner, caller, waiting: VecDeque::new(), current: None })
     }
 
-    /// Makes a call after those before it. A reading that already waits is
-    /// not made twice.
-    pub fn ask(&mut self, _cx: CX![], it: Ask) {
-        let skip = self.waiting.contains(&it) || self.waiting.len() >= QUEUE;
-        if skip && !it.is_order() {
+    /// Queues a call. A reading that is already queued is not queued again.
+    pub fn enqueue(&mut self, _cx: CX![], call: Call) {
+        let skip = self.waiting.contains(&call) || self.waiting.len() >= MAX_QUEUED_CALLS;
+        if skip && !call.is_order() {
             return;
         }
-        self.waiting.push_back(it);
-        self.next();
+        self.waiting.push_back(call);
+        self.start_next();
     }
 
-    fn next(&mut self) {
+    fn start_next(&mut self) {
         if self.current.is_some() {
             return;
         }
-        let Some(ask) = self.waiting.pop_front() else { return };
-        call!([self.caller], call(ask.call()));
-        self.current = Some(ask);
+        let Some(next) = self.waiting.pop_front() else { return };
+        call!([self.caller], call(next.call()));
+        self.current = Some(next);
     }
 
-    fn heard(&mut self, _cx: CX![], heard: Heard) {
-        if let Some(ask) = self.current.take() {
-            self.owner.fwd((ask, heard));
+    fn on_answer(&mut self, _cx: CX![], result: CallResult) {
+        if let Some(call) = self.current.take() {
+            self.owner.fwd((call, result));
         }
-        self.next();
+        self.start_next();
     }
 }
--- a/crates/sablepass-agent/src/leaving.rs
+++ b/crates/sablepass-agent/src/leaving.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The keeper over time: heartbeats, planned stops, draining.
+//! The keeper's timers and shutdown: heartbeats, planned stops and draining.
 
 use std::time::Duration;
 
@@ -15,36 +15,38 @@
 use crate::keeper::Keeper;
 use crate::target::Load;
 
-/// How long the answer of a request that must not repeat is kept after its end.
-const KEEP_ENDED: Millis = 60_000;
-/// Ended answers kept at once.
-const KEEP_COUNT: usize = 256;
-/// Time between two looks at planned stops and old answers.
-const TICK: Duration = Duration::from_millis(100);
-/// How long a plain service that refused a connection is left alone.
-const AWAY: Millis = 1_000;
-/// How long a drained agent stays, so that its last frames are sent.
-const LINGER: Duration = Duration::from_millis(300);
+/// Time after its end for which the answer of a request that is not safe to repeat is kept.
+const ENDED_RETENTION: Millis = 60_000;
+/// Maximum number of kept answers of ended attempts.
+const MAX_ENDED: usize = 256;
+/// Interval at which planned stops and expired answers are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Back-off after a failed connection to a target that is not a model engine.
+const UNREACHABLE_BACKOFF: Millis = 1_000;
+/// Time from the end of a drain to the exit, so that the last frames are sent.
+const DRAINED_LINGER: Duration = Duration::from_millis(300);
 
 impl Keeper {
-    /// Takes a reading of the engine's load.
-    pub fn load(&mut self, _cx: CX![], it: Load) {
-        self.load = Some(it);
-        // An engine that answers is back.
-        if self.away.is_some_and(|since| it.at > since) {
-            self.away = None;
+    /// Handles a reading of the engine's load.
+    pub fn load(&mut self, _cx: CX![], load: Load) {
+        self.load = Some(load);
+        // An engine that answers is reachable again.
+        if self.unreachable_at.is_some_and(|since| load.at > since) {
+            self.unreachable_at = None;
             self.report();
         }
     }
 
-    pub(crate) fn beat(&mut self, cx: CX![]) {
+    /// Reports to all entries and updates the metrics, at each heartbeat interval.
+    pub(crate) fn send_heartbeat(&mut self, cx: CX![]) {
         self.report();
         let (attempts, keys) = self.gate.once_table_len();
         self.metrics.once.with_label_values(&["attempts"]).set(attempts as i64);
         self.metrics.once.with_label_values(&["keys"]).set(keys as i64);
-        after!(Duration::from_millis(self.settings.heartbeat), [cx], beat());
+        after!(Duration::from_millis(self.settings.heartbeat), [cx], send_heartbeat());
     }
 
+    /// Reports load and state of the target to all entries.
     pub(crate) fn report(&self) {
         let now = clock::now();
         let (engine_load, load_age) = match self.load {
@@ -57,15 +59,15 @@
             engine_load,
             load_age,
             leaving: self.gate.leaving(),
-            away: self.away.is_some(),
+            away: self.unreachable_at.is_some(),
             pace: 0,
             size: 0,
             lag: 0,
             entries: self.entries.count(),
             group: 0,
             stands: false,
-            refuses: self.away.is_some(),
-            rest: self.notices.rest(now),
+            refuses: self.unreachable_at.is_some(),
+            rest: self.notices.remaining_pause(now),
             limit: self.notices.limit().map(Rate::per_second),
         });
         for peer in self.entries.peers() {
@@ -73,12 +75,13 @@
         }
     }
 
-    pub(crate) fn report_if_leaving(&mut self) {
+    pub(crate) fn check_drained_if_leaving(&mut self) {
         if self.gate.leaving() {
             self.check_drained();
         }
     }
 
+    /// Starts the drain: the gate refuses new attempts and the entries are notified.
     pub(crate) fn leave(&mut self, why: &'static str) {
         if self.gate.leaving() {
             return;
@@ -89,6 +92,7 @@
         self.check_drained();
     }
 
+    /// Marks the agent as drained once no attempt is running.
     pub(crate) fn check_drained(&mut self) {
         if self.drained || self.gate.running() > 0 {
             return;
@@ -104,28 +108,32 @@
         if self.stop_at.is_some_and(|at| now >= at) {
             self.leave("planned stop");
         }
-        // A plain service cannot be asked: it is tried again after a while.
-        if !self.target.engine() && self.away.is_some_and(|since| now >= since + AWAY) {
-            self.away = None;
+        // A target that is not an engine reports no load that would show its recovery, so it is
+        // tried again after the back-off.
+        if !self.target.is_engine()
+            && self.unreachable_at.is_some_and(|since| now >= since + UNREACHABLE_BACKOFF)
+        {
+            self.unreachable_at = None;
             self.report();
         }
-        self.forget(now);
+        self.drop_ended(now);
         if let Some(group) = &mut self.group {
             let sends = group.tick(now);
             self.send_all(sends);
         }
         if self.stopping && self.drained {
-            after!(LINGER, [cx], |_, cx| stakker::stop!(cx));
+            after!(DRAINED_LINGER, [cx], |_, cx| stakker::stop!(cx));
             self.stopping = false;
         }
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
     }
 
-    pub(crate) fn forget(&mut self, now: Millis) {
+    /// Drops the kept answers that have expired or exceed [`MAX_ENDED`].
+    pub(crate) fn drop_ended(&mut self, now: Millis) {
         while let Some(attempt) = self.ended.front() {
             let end = self.active.get(attempt).and_then(|it| it.end);
-            let old = end.is_none_or(|(at, _)| now >= at + KEEP_ENDED);
-            if !old && self.ended.len() <= KEEP_COUNT {
+            let old = end.is_none_or(|(at, _)| now >= at + ENDED_RETENTION);
+            if !old && self.ended.len() <= MAX_ENDED {
                 break;
             }
             self.active.remove(attempt);
@@ -133,7 +141,7 @@
         }
     }
 
-    /// Takes a signal: on a stop it leaves, and ends when drained.
+    /// Handles a signal. A stop starts the drain; the process exits when it is drained.
     pub fn signal(&mut self, _cx: CX![], signal: runtime::Signal) {
         match signal {
             runtime::Signal::Stop => {
@@ -142,7 +150,8 @@
                 self.check_drained();
             }
             runtime::Signal::Reload => {
-                slog::info!(self.log, "settings kept"; "why" => "an agent takes them at its start");
+                slog::info!(self.log, "settings not reloaded";
+                    "why" => "an agent reads its settings only at startup; restart it");
             }
         }
     }
--- a/crates/sablepass-agent/src/main.rs
+++ b/crates/sablepass-agent/src/main.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The agent beside each target. Every dispatch passes its [`gate`], and what
-//! the gate lets through runs at the target on a thread of its own. Where
-//! entries send requests straight to targets, it only observes its target.
+//! The agent of a target, on the target's machine. For a gated target, every dispatch passes
+//! the agent's [`gate`], and each admitted one runs on the target from a thread of its own. For
+//! a direct target, to which entries send requests over HTTP, the agent only observes it.
 //!
 //! [`gate`]: sablepass_core::gate
 
@@ -34,12 +34,16 @@
 use stakker::sync::Channel;
 use stakker::{actor_new, call, fwd_to, ret_shutdown};
 
-use crate::engine::{Ask, Engine, Heard};
+use crate::engine::{Call, CallResult, Engine};
 use crate::keeper::Keeper;
 use crate::observer::Observer;
 
 fn main() -> ExitCode {
-    daemon::main("sablepass-agent", "Guards the target it stands beside", run)
+    daemon::main(
+        "sablepass-agent",
+        "Runs beside a target, admits its requests and reports its state",
+        run,
+    )
 }
 
 fn run(settings: settings::Settings, _: PathBuf) -> Result<(), daemon::Error> {
@@ -49,7 +53,7 @@
     }
 }
 
-/// Runs the agent of a target that takes requests straight from entries.
+/// Runs the agent of a direct target.
 fn observe(settings: settings::Settings, target: SocketAddr) -> Result<(), daemon::Error> {
     let base = Base::open(&settings.node, Role::Agent)?;
     runtime::run::<_, daemon::Error>(|s| {
@@ -62,14 +66,14 @@
         println!("{}", serde_json::json!({ "peers": peers, "admin": admin }));
         slog::info!(log, "started"; "target" => %target, "peers" => %peers, "admin" => %admin);
         let engine = actor_new!(s, Engine, ret_shutdown!(s));
-        let heard = fwd_to!([actor], heard() as ((Ask, Heard)));
-        call!([engine], Engine::init(target, heard));
+        let results = fwd_to!([actor], on_call_result() as ((Call, CallResult)));
+        call!([engine], Engine::init(target, results));
         call!([actor], Observer::init(settings, target, log, metrics, mesh, engine));
         Ok((actor, signals, operators))
     })
 }
 
-/// Runs the agent of a target whose requests pass its gate.
+/// Runs the agent of a gated target.
 fn guard(settings: settings::Settings) -> Result<(), daemon::Error> {
     let base = Base::open(&settings.node, Role::Agent)?;
     runtime::run::<_, daemon::Error>(|s| {
@@ -77,7 +81,8 @@
         let (parts, parts_guard) = Channel::new(s, fwd_to!([actor], part() as (run::Part)));
         let (loads, loads_guard) = Channel::new(s, fwd_to!([actor], load() as (target::Load)));
         let queries = fwd_to!([actor], query() as (admin::Query));
-        let (engine, engine_guard) = Channel::new(s, fwd_to!([actor], engine() as (orders::Heard)));
+        let (engine, engine_guard) =
+            Channel::new(s, fwd_to!([actor], engine_event() as (orders::EngineEvent)));
         let signals = runtime::signals(s, fwd_to!([actor], signal() as (runtime::Signal)))?;
         let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peers);
         let me = base.me.incarnation;
--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The actor beside a target that takes requests straight from entries: it
-//! reads the target's account of itself, which costs nothing from here, tells
-//! the entries its load, and keeps its rank's share of the group's map.
+//! The actor of the agent of a direct target. It polls the target's report, which is cheap on
+//! the same machine, sends the load to the entries, and takes part in switches of the group's
+//! expert map.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,28 +30,29 @@
 use slog::Logger;
 use stakker::{ActorOwn, CX, after, call, ret_some_do};
 
-use crate::engine::{Ask, Engine, Heard};
+use crate::engine::{Call, CallResult, Engine};
 use crate::listeners::Listeners;
-use crate::memory::Memory;
-use crate::ranks::{Do, Ranks};
+use crate::memory::SuspectCache;
+use crate::ranks::{Action, Ranks};
 use crate::settings::Settings;
 
-/// Time between two looks at a group that is about to switch.
-const PULSE: Duration = Duration::from_millis(25);
-/// Pulses between two readings of the counts, in which shifts of demand show.
-const COUNT_PULSES: u64 = 4;
+/// Interval at which the target's report is read while a switch is in progress.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Number of polls between two readings of the counts, which show shifts of demand.
+const POLLS_PER_COUNTS: u64 = 4;
 
-/// Parts in which a lag that changes is told at once, and those that are told.
-const TENTHS: f64 = 10.0;
-const THOUSANDTHS: f64 = 1_000.0;
+/// Resolution at which a change of the lag causes a report at once: tenths.
+const LAG_STATE_SCALE: f64 = 10.0;
+/// Unit of the lag in reports: thousandths.
+const LAG_REPORT_SCALE: f64 = 1_000.0;
 
-/// The last reading.
+/// The latest report of the target.
 struct Reading {
     report: engine::Report,
     at: Millis,
 }
 
-/// The actor.
+/// The actor of the agent of a direct target.
 pub struct Observer {
     settings: Settings,
     target: SocketAddr,
@@ -60,46 +61,46 @@
     mesh: ActorOwn<Mesh>,
     engine: ActorOwn<Engine>,
     entries: Listeners,
-    memory: Memory,
+    suspects: SuspectCache,
     reading: Option<Reading>,
     steps: Steps,
-    /// The target answered the last time.
-    good: bool,
-    /// It refused the last connection.
+    /// Whether the latest report could be read.
+    answering: bool,
+    /// Whether the target refused the latest connection.
     refuses: bool,
-    /// The limit that it last named.
+    /// The limit that the target last announced.
     limit: Limit,
     ranks: Ranks,
-    /// What entries told of the maps of services, with the revision that says so.
+    /// Bounds of the maps of each service, with the configuration revision that declares them.
     bounds: BTreeMap<String, (Revision, Bounds)>,
     instances: Rc<BTreeMap<String, Instance>>,
-    /// The service that the target answers for, once it is listed.
+    /// The service that the target belongs to; empty until the instance list has the target.
     service: String,
-    pulses: u64,
-    sleep: clock::Sleep,
-    /// When the entries were last told the load.
-    told: Millis,
-    /// What they were told of the rank.
-    told_state: State,
+    polls: u64,
+    suspension: clock::Sleep,
+    /// Time of the latest report to the entries.
+    reported_at: Millis,
+    /// State in the latest report to the entries.
+    reported_state: State,
 }
 
-/// How a rank stands, for those that choose targets.
+/// State of the rank that the entries use to choose targets. A change is reported at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct State {
-    /// Its group is not complete, so that nothing sent there runs.
+    /// The group is incomplete, so that no request runs there.
     closed: bool,
-    /// Its group makes no step although there is work.
-    stands: bool,
-    /// How long it takes, for which its group waits.
+    /// The group makes no step although there is work.
+    stalled: bool,
+    /// Pace of the rank, which its whole group waits for.
     pace: Pace,
-    /// Lag of the group's map in tenths, where this agent plans it.
+    /// Lag of the group's map in tenths, or 0 if this agent is not the planner.
     lag: u32,
-    /// It refuses connections: its process has ended.
+    /// The target refuses connections, so its process has ended.
     refuses: bool,
 }
 
 impl Observer {
-    /// Starts to read.
+    /// Creates the actor and starts to poll the target.
     pub fn init(
         cx: CX![],
         settings: Settings,
@@ -109,11 +110,12 @@
         mesh: ActorOwn<Mesh>,
         engine: ActorOwn<Engine>,
     ) -> Option<Self> {
-        // Fences grow from agent to agent by the time of day; one that is too
-        // low after a clock went back is found out by the first order.
+        // Fences are based on the time of day, so that they increase from one agent to its
+        // successor. The first order reveals a fence that is too low because the clock was set
+        // back.
         let hall = settings.node.hall.clone();
         let (link, fence) = (settings.link, clock::time_of_day());
-        let ranks = Ranks::open(log.clone(), metrics.clone(), hall, link, fence);
+        let ranks = Ranks::new(log.clone(), metrics.clone(), hall, link, fence);
         let mut observer = Self {
             settings,
             target,
@@ -122,41 +124,41 @@
             mesh,
             engine,
             entries: Listeners::default(),
-            memory: Memory::default(),
+            suspects: SuspectCache::default(),
             reading: None,
             steps: Steps::default(),
-            good: false,
+            answering: false,
             refuses: false,
             limit: Limit::None,
             ranks,
             bounds: BTreeMap::new(),
             instances: Rc::default(),
             service: String::new(),
-            pulses: 0,
-            sleep: clock::Sleep::default(),
-            told: 0,
-            told_state: State::default(),
+            polls: 0,
+            suspension: clock::Sleep::default(),
+            reported_at: 0,
+            reported_state: State::default(),
         };
-        observer.pulse(cx);
+        observer.poll(cx);
         Some(observer)
     }
 
     // Other processes.
 
-    /// Takes an event of the mesh.
+    /// Handles an event of the mesh.
     pub fn mesh_event(&mut self, _cx: CX![], event: mesh::Event) {
         match event {
             mesh::Event::Up(peer, it) if it.role == Role::Entry.name() => {
                 if it.dialled.is_none() {
-                    slog::info!(self.log, "entry up"; "entry" => &it.name);
+                    slog::info!(self.log, "entry connected"; "entry" => &it.name);
                     self.entries.up(peer, it.name);
-                    if let Some(held) = self.memory.recall(clock::now()) {
+                    if let Some(held) = self.suspects.message(clock::now()) {
                         call!([self.mesh], send(peer, held));
                     }
                 }
             }
             mesh::Event::Up(peer, it) => {
-                slog::info!(self.log, "agent up"; "agent" => it.name);
+                slog::info!(self.log, "agent connected"; "agent" => it.name);
                 let list = self.ranks.up(clock::now(), peer, it.hall);
                 self.carry_out(list);
             }
@@ -164,172 +166,177 @@
                 self.entries.down(peer);
                 self.ranks.down(peer);
             }
-            mesh::Event::Message(_, Body::Bounds(it)) => self.take_bounds(it),
+            mesh::Event::Message(_, Body::Bounds(it)) => self.on_bounds(it),
             mesh::Event::Message(_, Body::Suspects(it)) => {
-                if self.memory.take(clock::now(), it).is_err() {
+                if self.suspects.update(clock::now(), it).is_err() {
                     self.metrics.ignored(Ignored::BadFrame);
                 }
             }
             mesh::Event::Message(peer, body) => {
-                let list = self.ranks.message(clock::now(), peer, body);
+                let list = self.ranks.on_message(clock::now(), peer, body);
                 self.carry_out(list.unwrap_or_default());
             }
             mesh::Event::Instances(it) => {
                 self.instances = it.instances;
-                self.meet_group();
+                self.join_group();
             }
-            // Entries tell what is needed of the configuration.
+            // Entries send the bounds, which is all that an observer needs of the configuration.
             mesh::Event::Config(_) | mesh::Event::Entries(_) => {}
         }
     }
 
-    /// Takes what an entry told of a service, unless another one told it by a
-    /// later configuration.
-    fn take_bounds(&mut self, it: wire::Bounds) {
-        let told = match convert::parse_bounds(&it) {
-            Ok(told) => told,
+    /// Handles the bounds that an entry sent for a service. Bounds of an older configuration
+    /// revision than the known one are ignored.
+    fn on_bounds(&mut self, message: wire::Bounds) {
+        let bounds = match convert::parse_bounds(&message) {
+            Ok(bounds) => bounds,
             Err(e) => {
-                slog::warn!(self.log, "bounds ignored"; "service" => it.service, "error" => %e);
+                slog::warn!(self.log, "invalid bounds of maps ignored";
+                    "service" => message.service,
+                    "error" => %e);
                 return;
             }
         };
-        let revision = Revision::new(it.era, it.revision);
-        let known = self.bounds.get(&it.service);
-        // An entry that learns better tells it anew at the revision that it holds.
+        let revision = Revision::new(message.era, message.revision);
+        let known = self.bounds.get(&message.service);
+        // Bounds of the same revision replace the known ones: an entry that corrects its
+        // configuration sends them again at its current revision.
         if known.is_some_and(|known| known.0 > revision) {
             return;
         }
-        if known.is_none_or(|known| known.1 != told) {
-            slog::info!(self.log, "bounds of maps"; "service" => &it.service,
-                "era" => it.era, "revision" => it.revision, "bounds" => ?told);
+        if known.is_none_or(|known| known.1 != bounds) {
+            slog::info!(self.log, "bounds of maps"; "service" => &message.service,
+                "era" => message.era, "revision" => message.revision, "bounds" => ?bounds);
         }
-        self.bounds.insert(it.service, (revision, told));
-        self.meet_group();
+        self.bounds.insert(message.service, (revision, bounds));
+        self.join_group();
     }
 
-    /// Declares the group that the target is a rank of, and connects to its
-    /// agents. Bounds and list come in either order.
-    fn meet_group(&mut self) {
+    /// Sets the bounds of the group that the target is a rank of, and connects to the agents of
+    /// the group. Bounds and instance list arrive in either order.
+    fn join_group(&mut self) {
         let instances = self.instances.clone();
         let targets = || instances.values().filter(|it| it.role == Role::Target);
         let Some(mine) = targets().find(|it| it.addr == self.target) else { return };
         self.service.clone_from(&mine.serves);
         let bounds = self.bounds.get(&self.service).map(|it| it.1);
         let bounds = bounds.filter(|_| self.settings.keeps_maps);
-        self.ranks.declare(bounds);
+        self.ranks.set_bounds(bounds);
         if bounds.is_none() {
             return;
         }
         let me = self.settings.node.listen;
-        // Of two agents one dials.
+        // Of each pair of agents, the one with the lower address connects to the other.
         let others = targets().filter(|it| it.serves == self.service && it.addr.ip() > me.ip());
         let wanted = others.map(|it| Wanted::At(SocketAddr::new(it.addr.ip(), me.port())));
         let wanted: Vec<Wanted> = wanted.collect();
         call!([self.mesh], want(wanted));
     }
 
-    fn carry_out(&self, list: Vec<Do>) {
+    fn carry_out(&self, list: Vec<Action>) {
         for it in list {
             match it {
-                Do::Ask(ask) => call!([self.engine], ask(ask)),
-                Do::Send(peer, body) => call!([self.mesh], send(peer, body)),
+                Action::Call(call) => call!([self.engine], enqueue(call)),
+                Action::Send(peer, body) => call!([self.mesh], send(peer, body)),
             }
         }
     }
 
-    // The target.
+    // Target.
 
-    fn pulse(&mut self, cx: CX![]) {
+    /// Reads the target when that is due, and runs the periodic work.
+    fn poll(&mut self, cx: CX![]) {
         let now = clock::now();
-        self.pulses += 1;
-        if let Some(slept) = self.sleep.look(now) {
-            self.wake(slept);
+        self.polls += 1;
+        if let Some(suspended_for) = self.suspension.look(now) {
+            self.on_resume(suspended_for);
         }
-        let count = self.pulses.is_multiple_of(COUNT_PULSES);
+        let count = self.polls.is_multiple_of(POLLS_PER_COUNTS);
         let active = self.ranks.is_active();
-        let due = now >= self.told + self.settings.heartbeat;
+        let due = now >= self.reported_at + self.settings.heartbeat;
         if due || self.ranks.is_busy() || (active && count) {
-            call!([self.engine], ask(Ask::Report));
+            call!([self.engine], enqueue(Call::Report));
         }
         if active && count && self.reading.is_some() {
-            if self.ranks.wants_counts() {
-                call!([self.engine], ask(Ask::Counts));
+            if self.ranks.needs_counts() {
+                call!([self.engine], enqueue(Call::Counts));
             }
             let list = self.ranks.tick(now);
             self.carry_out(list);
-            self.tell_changes(now);
+            self.report_if_due(now);
         }
-        after!(PULSE, [cx], pulse());
+        after!(POLL_INTERVAL, [cx], poll());
     }
 
-    /// What was read before this process slept says nothing any more: nothing is
-    /// told or ordered by it.
-    fn wake(&mut self, slept: Millis) {
-        slog::warn!(self.log, "slept"; "for" => slept);
+    /// Discards the latest report after a suspension of this process. It is outdated, so nothing
+    /// is reported or ordered until the next one.
+    fn on_resume(&mut self, suspended_for: Millis) {
+        slog::warn!(self.log, "process resumed after a suspension"; "for" => suspended_for);
         self.metrics.sleeps.inc();
         self.reading = None;
-        call!([self.engine], ask(Ask::Report));
+        call!([self.engine], enqueue(Call::Report));
     }
 
-    /// Takes the end of a call to the target.
-    pub fn heard(&mut self, _cx: CX![], (ask, heard): (Ask, Heard)) {
+    /// Handles the result of a call to the target.
+    pub fn on_call_result(&mut self, _cx: CX![], (call, result): (Call, CallResult)) {
         let now = clock::now();
-        if let Ok(it) = &heard {
-            self.names_limit(answer::limit(&it.fields));
+        if let Ok(it) = &result {
+            self.on_limit(answer::limit(&it.fields));
         }
-        match (&ask, &heard) {
-            (Ask::Report, Ok(Answer { status: 200, body, .. })) => match engine::report(body) {
-                Ok(it) => self.report(now, it),
-                Err(e) => self.lost(now, &e.to_string(), false),
+        match (&call, &result) {
+            (Call::Report, Ok(Answer { status: 200, body, .. })) => match engine::report(body) {
+                Ok(it) => self.on_report(now, it),
+                Err(e) => self.on_failure(now, &e.to_string(), false),
             },
-            (Ask::Report, Ok(it)) => self.lost(now, &format!("status {}", it.status), false),
-            (Ask::Report, Err(e)) => self.lost(now, &e.to_string(), e.is_refused()),
+            (Call::Report, Ok(it)) => self.on_failure(now, &format!("status {}", it.status), false),
+            (Call::Report, Err(e)) => self.on_failure(now, &e.to_string(), e.is_refused()),
             _ => {
-                let list = self.ranks.heard(now, &ask, &heard);
+                let list = self.ranks.on_call_result(now, &call, &result);
                 self.carry_out(list);
             }
         }
     }
 
-    /// Says when the target begins or ends to name a limit, or names another.
-    fn names_limit(&mut self, limit: Limit) {
+    /// Logs a change of the limit that the target announces.
+    fn on_limit(&mut self, limit: Limit) {
         if std::mem::replace(&mut self.limit, limit) != limit {
-            slog::info!(self.log, "target names a limit"; "limit" => ?limit);
+            slog::info!(self.log, "target's announced limit changed"; "limit" => ?limit);
         }
     }
 
-    fn report(&mut self, now: Millis, report: engine::Report) {
+    fn on_report(&mut self, now: Millis, report: engine::Report) {
         self.refuses = false;
-        if !self.good {
-            self.good = true;
-            slog::info!(self.log, "target regained"; "target" => %self.target);
+        if !self.answering {
+            self.answering = true;
+            slog::info!(self.log, "target's report is available"; "target" => %self.target);
         }
         let before = self.reading.as_ref().map(|it| it.report.born);
         if before.is_some_and(|it| it != report.born) {
-            // Orders and votes are bound to the group's epoch, which ends with a rank.
-            slog::info!(self.log, "target started anew"; "born" => report.born);
+            // Orders and votes need no reset: they belong to an epoch of the group, which ends
+            // when a rank ends.
+            slog::info!(self.log, "target restarted"; "born" => report.born);
             self.steps = Steps::default();
         }
         let busy = report.running + report.waiting > 0;
         self.steps.watch(now, report.group.as_ref().map_or(0, |it| it.reading.step), busy);
-        let list = self.ranks.report(now, report.group.clone(), report.running);
+        let list = self.ranks.on_report(now, report.group.clone(), report.running);
         self.carry_out(list);
         self.reading = Some(Reading { report, at: now });
         let state = self.state();
-        if state.pace != self.told_state.pace {
-            slog::info!(self.log, "pace changed"; "judged" => ?state.pace,
+        if state.pace != self.reported_state.pace {
+            slog::info!(self.log, "pace class of the target changed"; "judged" => ?state.pace,
                 "pace" => self.group().map(|it| it.pace));
         }
-        self.tell_changes(now);
+        self.report_if_due(now);
     }
 
-    /// Tells the entries, if it is time or something changed that matters to them.
-    fn tell_changes(&mut self, now: Millis) {
+    /// Reports to the entries if the heartbeat is due or the state has changed.
+    fn report_if_due(&mut self, now: Millis) {
         let state = self.state();
-        if now >= self.told + self.settings.heartbeat || state != self.told_state {
-            self.told = now;
-            self.told_state = state;
-            self.tell();
+        if now >= self.reported_at + self.settings.heartbeat || state != self.reported_state {
+            self.reported_at = now;
+            self.reported_state = state;
+            self.send_report();
         }
     }
 
@@ -340,33 +347,37 @@
     fn state(&self) -> State {
         State {
             closed: self.group().is_some_and(|it| !it.open),
-            stands: self.steps.is_stalled(clock::now()),
+            stalled: self.steps.is_stalled(clock::now()),
             pace: self.group().map_or(Pace::Sound, |it| Pace::of(it.pace)),
-            lag: self.lag(TENTHS),
+            lag: self.scaled_lag(LAG_STATE_SCALE),
             refuses: self.refuses,
         }
     }
 
-    /// Lag of the group's map in such parts; 0 where this agent does not plan it.
-    fn lag(&self, parts: f64) -> u32 {
-        self.ranks.lag().map_or(0, |it| (it * parts).round() as u32)
+    /// Returns the lag of the group's map multiplied by `scale`, or 0 if this agent is not the
+    /// planner.
+    fn scaled_lag(&self, scale: f64) -> u32 {
+        self.ranks.lag().map_or(0, |it| (it * scale).round() as u32)
     }
 
-    fn lost(&mut self, now: Millis, why: &str, refuses: bool) {
+    /// Handles a failure to read the target's report. `refuses`: the connection was refused.
+    fn on_failure(&mut self, now: Millis, why: &str, refuses: bool) {
         let changed = std::mem::replace(&mut self.refuses, refuses) != refuses;
-        if self.good {
-            self.good = false;
-            slog::warn!(self.log, "target lost"; "target" => %self.target, "why" => why);
+        if self.answering {
+            self.answering = false;
+            slog::warn!(self.log, "cannot read the target's report"; "target" => %self.target,
+                "why" => why);
         }
         if changed {
-            self.tell_changes(now);
+            self.report_if_due(now);
         }
     }
 
-    fn tell(&self) {
-        let Some(it) = &self.reading else { return };
-        let age = clock::now().saturating_sub(it.at);
-        let load = it.report.running + it.report.waiting;
+    /// Reports load and state of the target to all entries.
+    fn send_report(&self) {
+        let Some(reading) = &self.reading else { return };
+        let age = clock::now().saturating_sub(reading.at);
+        let load = reading.report.running + reading.report.waiting;
         self.metrics.in_flight.set(load.into());
         let report = Body::Report(wire::Report {
             in_flight: load,
@@ -377,12 +388,12 @@
             away: self.state().closed,
             pace: convert::pace_number(self.state().pace),
             size: self.group().map_or(0, |it| it.size.into()),
-            lag: self.lag(THOUSANDTHS),
+            lag: self.scaled_lag(LAG_REPORT_SCALE),
             entries: self.entries.count(),
-            stands: self.state().stands,
+            stands: self.state().stalled,
             refuses: self.refuses,
             group: self.group().map_or(0, |it| rendezvous::stable_hash(&it.name) as u32),
-            // It sends the target no requests that could be turned away.
+            // This agent sends the target no requests, so it learns of no pause.
             rest: 0,
             limit: None,
         });
@@ -402,16 +413,16 @@
         });
         match query.ask {
             admin::Ask::Ready => {
-                let json = serde_json::json!({ "ready": self.good }).to_string();
-                let status = if self.good { 200 } else { 503 };
+                let json = serde_json::json!({ "ready": self.answering }).to_string();
+                let status = if self.answering { 200 } else { 503 };
                 query.reply.send(admin::Reply { status, json });
             }
             admin::Ask::Status => {
-                let (good, reply) = (self.good, query.reply);
+                let (answering, reply) = (self.answering, query.reply);
                 let ret = ret_some_do!(move |mesh: serde_json::Value| {
                     let mut status = mesh;
                     status["role"] = "agent".into();
-                    status["target_answers"] = good.into();
+                    status["target_answers"] = answering.into();
                     status["load"] = load.into();
                     reply.send(admin::Reply::ok(&status));
                 });
@@ -426,7 +437,7 @@
         }
     }
 
-    /// Takes a signal. It ends at once: nothing waits for this process.
+    /// Handles a signal. A stop takes effect at once, since no request runs through this process.
     pub fn signal(&mut self, cx: CX![], signal: runtime::Signal) {
         match signal {
             runtime::Signal::Stop => {
@@ -434,7 +445,8 @@
                 stakker::stop!(cx);
             }
             runtime::Signal::Reload => {
-                slog::info!(self.log, "settings kept"; "why" => "an agent takes them at its start");
+                slog::info!(self.log, "settings not reloaded";
+                    "why" => "an agent reads its settings only at startup; restart it");
             }
         }
     }
--- a/crates/sablepass-agent/src/run.rs
+++ b/crates/sablepass-agent/src/run.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! One request at the target, on its own thread.
+//! Runs one attempt on the target over HTTP, on a thread of its own, and sends the parts of the
+//! answer to the keeper.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -15,29 +16,29 @@
 use sablepass_platform::answer::{self, Limit, Rest};
 use stakker::sync::Channel;
 
-/// Bytes read from the target at once.
-const READ_SIZE: usize = 8 * 1024;
+/// Size of the buffer for the answer's body; the maximum size of a part.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What to run.
+/// An attempt to run on the target.
 #[derive(Debug)]
 pub struct Job {
     /// The attempt.
     pub attempt: AttemptId,
     /// HTTP method.
     pub method: String,
-    /// Path.
+    /// Path, appended to the target's base URL.
     pub path: String,
-    /// Content type of the body.
+    /// Content type of the body, or empty.
     pub content_type: String,
-    /// Priority, for an engine.
+    /// Priority; sent to model engines only.
     pub priority: u32,
-    /// Qualified customer.
+    /// Qualified name of the customer.
     pub customer: String,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When it is sent.
+    /// Time at which the attempt was passed to its thread.
     pub sent: Millis,
-    /// Set when nobody wants the answer any more.
+    /// Set when no caller awaits the answer any more.
     pub cancelled: Arc<AtomicBool>,
 }
 
@@ -46,61 +47,62 @@
 pub struct Part {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The part.
+    /// The content of the part.
     pub content: Content,
 }
 
-/// What a target says of itself with an answer.
+/// Pause and limit that a target announces in the headers of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
-    /// When the request was sent.
+pub struct TargetNotice {
+    /// Time at which the request was sent.
     pub sent: Millis,
-    /// How long the target wants nothing more.
-    pub rest: Option<Millis>,
-    /// What it takes from all entries together.
+    /// Time for which the target requests a pause.
+    pub pause: Option<Millis>,
+    /// Rate of requests that the target accepts from all entries together.
     pub limit: Limit,
 }
 
-/// What a part holds.
+/// Content of a part of an answer.
 #[derive(Debug)]
 pub enum Content {
-    /// The answer begins.
+    /// Start of the answer.
     Head {
         /// HTTP status.
         status: u32,
         /// Content type.
         content_type: String,
-        /// What the target says of itself.
-        said: Said,
+        /// The target's announcement.
+        notice: TargetNotice,
     },
-    /// Bytes.
+    /// Bytes of the body.
     Bytes(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// There will be no whole answer.
+    /// The attempt failed; the answer is missing or incomplete.
     Failed(Failure),
 }
 
-/// The name by which the target knows an attempt.
-pub fn target_id(it: AttemptId) -> String {
-    format!("{}-{}", it.request, it.number)
+/// Returns the request ID that identifies an attempt to the target.
+pub fn target_request_id(attempt: AttemptId) -> String {
+    format!("{}-{}", attempt.request, attempt.number)
 }
 
-/// Runs a job to its end.
+/// Runs a job to its end. `read_timeout` limits the wait for the answer's head and for each
+/// read of its body.
 pub fn run(
     agent: &ureq::Agent,
     base: &str,
     engine: bool,
-    read: Duration,
+    read_timeout: Duration,
     job: Job,
     parts: &Channel<Part>,
 ) {
     let attempt = job.attempt;
     let send = |content| parts.send(Part { attempt, content });
-    let response = match call(agent, base, engine, read, job.body.as_slice(), &job) {
+    let response = match call(agent, base, engine, read_timeout, job.body.as_slice(), &job) {
         Ok(it) => it,
         Err(e) => {
-            send(Content::Failed(failure(&e)));
+            send(Content::Failed(classify_error(&e)));
             return;
         }
     };
@@ -112,9 +114,9 @@
         .to_owned();
     let (head, body) = response.into_parts();
     let status = u32::from(head.status.as_u16());
-    let said = said(&job, head);
-    send(Content::Head { status, content_type, said });
-    let end = copy(body.into_reader(), &job.cancelled, |bytes| {
+    let notice = decode_notice(&job, head);
+    send(Content::Head { status, content_type, notice });
+    let end = stream_body(body.into_reader(), &job.cancelled, |bytes| {
         send(Content::Bytes(bytes));
     });
     send(end);
@@ -124,14 +126,14 @@
     agent: &ureq::Agent,
     base: &str,
     engine: bool,
-    read: Duration,
+    read_timeout: Duration,
     body: &[u8],
     job: &Job,
 ) -> Result<ureq::http::Response<ureq::Body>, ureq::Error> {
     let mut request = ureq::http::Request::builder()
         .method(job.method.as_str())
         .uri(format!("{base}{}", job.path))
-        .header("x-request-id", target_id(job.attempt))
+        .header("x-request-id", target_request_id(job.attempt))
         .header("x-customer", &job.customer);
     if !job.content_type.is_empty() {
         request = request.header("content-type", &job.content_type);
@@ -142,41 +144,48 @@
     let request = request.body(body)?;
     let request = agent
         .configure_request(request)
-        .timeout_recv_response(Some(read))
-        .timeout_per_read(Some(read))
+        .timeout_recv_response(Some(read_timeout))
+        .timeout_per_read(Some(read_timeout))
         .allow_non_standard_methods(true)
         .build();
     agent.run(request)
 }
 
-fn said(job: &Job, head: ureq::http::response::Parts) -> Said {
+/// Decodes the announcement in an answer's headers. An unreadable pause is ignored.
+fn decode_notice(job: &Job, head: ureq::http::response::Parts) -> TargetNotice {
     let meta = answer::decode(clock::now(), &ureq::http::Response::from_parts(head, ()));
-    let rest = match meta.rest {
+    let pause = match meta.rest {
         Rest::For(it) => Some(it),
         Rest::None | Rest::Unread => None,
     };
-    Said { sent: job.sent, rest, limit: meta.limit }
+    TargetNotice { sent: job.sent, pause, limit: meta.limit }
 }
 
-fn copy(mut from: impl Read, cancelled: &AtomicBool, mut to: impl FnMut(Vec<u8>)) -> Content {
-    let broke = |reason| Content::Failed(Failure { reason, ran: Ran::Ran });
-    let mut buffer = vec![0; READ_SIZE];
+/// Passes the body on in parts. Returns how it ended.
+fn stream_body(
+    mut from: impl Read,
+    cancelled: &AtomicBool,
+    mut to: impl FnMut(Vec<u8>),
+) -> Content {
+    let failed = |reason| Content::Failed(Failure { reason, ran: Ran::Ran });
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         if cancelled.load(Ordering::Relaxed) {
-            // Dropping the reader closes the connection, which stops the engine.
-            return broke(Refusal::CallerGone);
+            // Dropping the reader closes the connection, which cancels the request on the engine.
+            return failed(Refusal::CallerGone);
         }
         match from.read(&mut buffer) {
             Ok(0) => return Content::End,
             Ok(length) => to(buffer[..length].to_vec()),
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-            Err(_) => return broke(Refusal::EngineBroke),
+            Err(_) => return failed(Refusal::EngineBroke),
         }
     }
 }
 
-/// Only a connection that was never made proves that nothing ran.
-fn failure(e: &ureq::Error) -> Failure {
+/// Classifies a failed call. Only a connection that was never established proves that the
+/// target did not run the request.
+fn classify_error(e: &ureq::Error) -> Failure {
     let never_sent = match e {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
