--- a/crates/sablepass-edge/src/dial.rs
+++ b/crates/sablepass-edge/src/dial.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which processes a mesh dials, and when it tries again.
+//! Choice of the processes that a mesh dials, and the schedule of its attempts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,31 +16,31 @@
 use crate::instance::{Instance, Role};
 use crate::mesh::{Mesh, PeerKey, Wanted};
 
-/// Time between two looks at what has to be dialled.
-const PULSE: Duration = Duration::from_millis(100);
-/// First wait before a failed connection is dialled again.
-pub(crate) const REDIAL_FIRST: Millis = 100;
-/// Peers of the own hall to dial.
+/// Interval between two checks for reads and dial attempts that are due.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before a failed connection is first dialled again.
+pub(crate) const REDIAL_MIN: Millis = 100;
+/// Number of replication peers in the own hall.
 const NEAR_PEERS: usize = 3;
-/// Peers of other halls to dial.
+/// Number of replication peers in other halls.
 const FAR_PEERS: usize = 2;
 
-/// How the address of an endpoint was found.
+/// Source of an endpoint's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Found {
-    /// In the instance list: the other side must carry the endpoint's name.
+    /// The instance list. The peer must introduce itself under the endpoint's name.
     Listed,
-    /// The owner gave it.
+    /// The owner of the mesh.
     Given,
-    /// It is a seed.
+    /// The seeds in the settings.
     Seed,
 }
 
-/// A process to be connected to.
+/// A process to dial.
 pub(crate) struct Endpoint {
     pub(crate) addr: SocketAddr,
     pub(crate) found: Found,
-    /// Whether it is dialled for spreading.
+    /// Whether it is dialled for replication.
     pub(crate) spread: bool,
     pub(crate) peer: Option<PeerKey>,
     pub(crate) next: Millis,
@@ -48,9 +48,10 @@
 }
 
 impl Mesh {
-    /// Makes the endpoints those that are wanted now.
-    pub(crate) fn place(&mut self, cx: CX![]) {
-        let spread = self.spread_peers();
+    /// Updates the endpoints to the current replication peers and the processes required by the
+    /// owner. Closes the connections of endpoints that are removed or have a new address.
+    pub(crate) fn update_endpoints(&mut self, cx: CX![]) {
+        let spread = self.replication_peers();
         let instances = self.spread.instances().clone();
         let listed = |it: &String| {
             let found = instances.get(it)?;
@@ -62,71 +63,74 @@
             Wanted::Named(name) => listed(name),
             Wanted::At(addr) => Some((it.endpoint(), (*addr, Found::Given))),
         }));
-        let moved = |name: &String, it: &Endpoint| {
+        let is_obsolete = |name: &String, it: &Endpoint| {
             it.found != Found::Seed && chosen.get(name).map(|it| it.0) != Some(it.addr)
         };
-        let gone: Vec<String> = self
+        let obsolete: Vec<String> = self
             .endpoints
             .iter()
-            .filter(|(name, it)| moved(name, it))
+            .filter(|(name, it)| is_obsolete(name, it))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in gone {
+        for name in obsolete {
             let endpoint = self.endpoints.remove(&name);
             if let Some(key) = endpoint.and_then(|it| it.peer) {
-                self.closed(cx, key);
+                self.remove_peer(cx, key);
             }
         }
         for (name, (addr, found)) in chosen {
             let spread = spread.contains(&name);
-            let fresh = Endpoint { addr, found, spread, peer: None, next: 0, wait: REDIAL_FIRST };
-            self.endpoints.entry(name).or_insert(fresh);
+            let endpoint = Endpoint { addr, found, spread, peer: None, next: 0, wait: REDIAL_MIN };
+            self.endpoints.entry(name).or_insert(endpoint);
         }
     }
 
-    fn spread_peers(&self) -> Vec<String> {
-        let me = &self.node.name;
-        let pick = |near: bool, most: usize| {
+    fn replication_peers(&self) -> Vec<String> {
+        let own_name = &self.node.name;
+        let pick = |near: bool, limit: usize| {
             let fits = |it: &(&String, &Instance)| {
-                (it.1.hall == self.node.hall) == near && it.0 != me && it.1.role != Role::Target
+                (it.1.hall == self.node.hall) == near
+                    && it.0 != own_name
+                    && it.1.role != Role::Target
             };
             let names = self.spread.instances().iter().filter(fits).map(|it| it.0.as_str());
-            let ranked = rendezvous::rank(me, names);
-            ranked.into_iter().take(most).map(str::to_owned).collect::<Vec<_>>()
+            let ranked = rendezvous::rank(own_name, names);
+            ranked.into_iter().take(limit).map(str::to_owned).collect::<Vec<_>>()
         };
         let mut names = pick(true, NEAR_PEERS);
         names.extend(pick(false, FAR_PEERS));
         names
     }
 
-    pub(crate) fn pulse(&mut self, cx: CX![]) {
+    /// Orders the reads that are due and dials the endpoints that are due.
+    pub(crate) fn maintain(&mut self, cx: CX![]) {
         let now = clock::now();
         self.spread.tick(now);
-        self.use_seeds();
+        self.add_seeds();
         let due = |it: &Endpoint| it.peer.is_none() && now >= it.next;
         let names: Vec<String> =
             self.endpoints.iter().filter(|(_, it)| due(it)).map(|(name, _)| name.clone()).collect();
         for name in names {
             self.dial(cx, now, name);
         }
-        after!(PULSE, [cx], pulse());
+        after!(MAINTENANCE_INTERVAL, [cx], maintain());
     }
 
-    /// Seeds serve while the instance list names no entry.
-    fn use_seeds(&mut self) {
+    /// Adds the seeds as endpoints while the instance list names no entry.
+    fn add_seeds(&mut self) {
         if self.spread.lists_entries() {
             return;
         }
         for addr in self.node.seeds.iter().filter(|it| **it != self.node.listen) {
-            let fresh = Endpoint {
+            let endpoint = Endpoint {
                 addr: *addr,
                 found: Found::Seed,
                 spread: true,
                 peer: None,
                 next: 0,
-                wait: REDIAL_FIRST,
+                wait: REDIAL_MIN,
             };
-            self.endpoints.entry(format!("seed {addr}")).or_insert(fresh);
+            self.endpoints.entry(format!("seed {addr}")).or_insert(endpoint);
         }
     }
 
--- a/crates/sablepass-edge/src/mesh.rs
+++ b/crates/sablepass-edge/src/mesh.rs
@@ -1,13 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The connections of a process to others, and the spread of configuration
-//! over them.
+//! The connections of a process to other processes, over which configuration is replicated.
 //!
-//! Every process listens for others and dials a few: those its owner wants,
-//! and a few peers by rendezvous hash, in its own hall and elsewhere. On every
-//! connection both sides say every second what they hold, and at once when it
-//! changes; whoever is behind pulls. What is held is [`crate::spread`]'s.
+//! Every process accepts connections and dials a few processes: those that its owner requires, and
+//! some peers chosen by rendezvous hashing in its own hall and in others. Both sides of a
+//! connection send a digest of their state every second and after each change; a peer that is
+//! behind pulls. The state itself is kept in [`crate::spread`].
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -39,61 +38,62 @@
 
 mod held;
 
-/// Longest wait before a failed connection is dialled again.
-const REDIAL_LAST: Millis = 2_000;
-/// A connection for spreading on which nothing arrives for this long is closed.
-const SILENCE: Millis = 5_000;
-/// Digests on a connection that was made for requests are so many times rarer:
-/// an entry has an order of magnitude more of those.
-const RARE: u64 = 10;
-/// Most connections accepted.
-const ACCEPT_LIMIT: usize = 4_096;
+/// Maximum delay before a failed connection is dialled again.
+const REDIAL_MAX: Millis = 2_000;
+/// Time without incoming messages after which a replication connection is closed.
+const SILENCE_TIMEOUT: Millis = 5_000;
+/// Factor by which digests are rarer, and the silence timeout is longer, on connections that were
+/// dialled for requests only. An entry has an order of magnitude more of these than of replication
+/// connections.
+const REQUEST_LINK_FACTOR: u64 = 10;
+/// Number of connections, in both directions, from which on no more are accepted.
+const MAX_PEERS: usize = 4_096;
 /// Priority of socket events in the poll.
 const PRIORITY: u32 = 10;
 
-/// Why a mesh could not be opened.
+/// Error of opening a mesh.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address cannot be listened on.
+    /// The listening socket could not be opened.
     #[snafu(display("listen on {addr}: {source}"))]
     Listen {
-        /// The address.
+        /// The listening address.
         addr: SocketAddr,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
 }
 
-/// One connection, for as long as it lives.
+/// Identifies one connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PeerKey(u64);
 
-/// What the other side of a connection said of itself.
+/// Data from the `Hello` message of a peer.
 #[derive(Clone, Debug)]
 pub struct Introduction {
-    /// Its name.
+    /// Name of the peer.
     pub name: String,
-    /// "entry" or "agent".
+    /// Role of the peer, as in [`Role::name`].
     pub role: String,
-    /// Its hall.
+    /// Data hall of the peer.
     pub hall: String,
-    /// Its incarnation.
+    /// Incarnation of the peer.
     pub incarnation: Incarnation,
-    /// The endpoint that this process dialled, if it did.
+    /// Name of the endpoint, if this process dialled the connection.
     pub dialled: Option<String>,
 }
 
-/// A process that the owner wants a connection to.
+/// A process to which the owner requires a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Wanted {
-    /// The one that the instance list names so.
+    /// The instance with this name in the instance list.
     Named(String),
-    /// The one at this address, whatever its name.
+    /// The process at this address; its name is not checked.
     At(SocketAddr),
 }
 
 impl Wanted {
-    /// The endpoint's name, as [`Introduction::dialled`] gives it.
+    /// Name of the endpoint, as in [`Introduction::dialled`].
     pub fn endpoint(&self) -> String {
         match self {
             Self::Named(it) => it.clone(),
@@ -102,49 +102,50 @@
     }
 }
 
-/// What the mesh tells its owner.
+/// Events that the mesh reports to its owner.
 #[derive(Debug)]
 pub enum Event {
-    /// A connection is up.
+    /// A peer has introduced itself on a connection.
     Up(PeerKey, Introduction),
-    /// It is down.
+    /// A connection on which a peer had introduced itself is closed.
     Down(PeerKey),
-    /// A message that is not the mesh's own.
+    /// A message that the mesh does not handle itself.
     Message(PeerKey, Body),
-    /// A new configuration is in force here.
+    /// New declarations were merged.
     Config(Rc<Catalogue>),
     /// The instance list changed.
     Instances(Listing),
-    /// Names of the entries that there are, without this process.
+    /// Names of the known entries except this process.
     Entries(Vec<String>),
 }
 
-/// The instance list.
+/// State of the instance list.
 #[derive(Clone, Debug)]
 pub struct Listing {
     /// The instances, by name.
     pub instances: Rc<BTreeMap<String, Instance>>,
-    /// Its revision.
+    /// Revision of the list.
     pub revision: Revision,
-    /// The earliest revision of its era at which anybody read it: later lines are no copies.
+    /// The earliest revision of the list's current era at which any process read the list. Lines
+    /// with a later revision do not come from a restored backup.
     pub began: Revision,
-    /// When its service last came back; 0 if it never was away.
+    /// Time at which the list's service last recovered from an outage; 0 if it had none.
     pub back: Millis,
 }
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its settings as one of many.
+    /// Settings of the process as a node.
     pub node: settings::Node,
-    /// What it does.
+    /// Role of the process.
     pub role: Role,
-    /// Drawn when it started.
+    /// Random number chosen when the process starts.
     pub incarnation: Incarnation,
 }
 
 impl Identity {
-    /// Draws the identity of a process that starts.
+    /// Creates the identity of a process that has just started.
     pub fn open(node: settings::Node, role: Role) -> Self {
         Self { node, role, incarnation: Incarnation(rand::random()) }
     }
@@ -153,25 +154,25 @@
 struct Peer {
     link: ActorOwn<Link>,
     introduction: Option<Introduction>,
-    /// Endpoint that was dialled.
+    /// Name of the endpoint, if this process dialled the connection.
     endpoint: Option<String>,
-    /// Made for spreading, by either side.
+    /// Whether either side dialled the connection for replication.
     spread: bool,
-    heard: Millis,
+    last_received: Millis,
     revision: Revision,
-    /// Entries that it said it is connected to.
+    /// Entries to which the peer reported connections.
     entries: Vec<String>,
 }
 
 impl Peer {
-    /// Its name, if it is an entry.
+    /// Name of the peer, if it is an entry.
     fn entry(&self) -> Option<&String> {
-        let known = self.introduction.as_ref()?;
-        (known.role == Role::Entry.name()).then_some(&known.name)
+        let introduction = self.introduction.as_ref()?;
+        (introduction.role == Role::Entry.name()).then_some(&introduction.name)
     }
 }
 
-/// The actor.
+/// Actor that owns the connections of a process.
 pub struct Mesh {
     pub(crate) node: settings::Node,
     role: Role,
@@ -183,8 +184,8 @@
     addr: SocketAddr,
     peers: HashMap<PeerKey, Peer>,
     next_peer: u64,
-    /// Which entries are connected has changed since that was told.
-    met: bool,
+    /// Whether the set of connected entries has changed since it was last sent to peers.
+    entries_changed: bool,
     pub(crate) endpoints: BTreeMap<String, Endpoint>,
     pub(crate) wanted: Vec<Wanted>,
     pub(crate) spread: Spread,
@@ -192,16 +193,16 @@
 }
 
 impl Mesh {
-    /// Opens the listener and the readers, and starts to dial.
+    /// Registers the listener, creates the readers, and starts to dial.
     pub fn init(
         cx: CX![],
-        me: Identity,
+        identity: Identity,
         log: Logger,
         metrics: Arc<Metrics>,
         owner: Fwd<Event>,
         listener: TcpListener,
     ) -> Option<Self> {
-        let Identity { node, role, incarnation } = me;
+        let Identity { node, role, incarnation } = identity;
         let now = clock::now();
         let addr = listener.local_addr().unwrap_or(node.listen);
         let poll = cx.anymap_get::<MioPoll>();
@@ -213,7 +214,7 @@
                 return None;
             }
         };
-        let reads = fwd_to!([cx], read() as (reader::Read));
+        let reads = fwd_to!([cx], handle_read() as (reader::Read));
         let spread = Spread::open(cx, now, (&node, role), log.clone(), metrics.clone(), &reads);
         let mut mesh = Self {
             role,
@@ -225,50 +226,51 @@
             addr,
             peers: HashMap::new(),
             next_peer: 0,
-            met: false,
+            entries_changed: false,
             endpoints: BTreeMap::new(),
             wanted: Vec::new(),
             spread,
             ticks: 0,
             node,
         };
-        mesh.pulse(cx);
+        mesh.maintain(cx);
         mesh.tick(cx);
         Some(mesh)
     }
 
-    /// Says which processes the owner wants connections to.
+    /// Sets the processes to which the owner requires connections.
     pub fn want(&mut self, cx: CX![], mut wanted: Vec<Wanted>) {
         wanted.sort();
         wanted.dedup();
         if wanted != self.wanted {
             self.wanted = wanted;
-            self.place(cx);
+            self.update_endpoints(cx);
         }
     }
 
-    /// Sends a message on a connection, if it is still there.
+    /// Sends a message on a connection. Does nothing if that is closed.
     pub fn send(&mut self, _cx: CX![], to: PeerKey, body: Body) {
         if let Some(peer) = self.peers.get(&to) {
             call!([peer.link], send(body));
         }
     }
 
-    /// Closes a connection that the owner no longer trusts.
+    /// Closes a connection on behalf of the owner.
     pub fn drop_peer(&mut self, cx: CX![], key: PeerKey) {
-        self.closed(cx, key);
+        self.remove_peer(cx, key);
     }
 
-    /// What the mesh contributes to a process's status.
+    /// Returns the mesh's part of the process's status as JSON.
     pub fn status(&mut self, _cx: CX![], ret: stakker::Ret<serde_json::Value>) {
         let peers: BTreeMap<&str, Revision> = self
             .peers
             .values()
             .filter_map(|it| Some((it.introduction.as_ref()?.name.as_str(), it.revision)))
             .collect();
-        let place = |it: Revision| serde_json::json!({ "era": it.era, "revision": it.number });
+        let revision_json =
+            |it: Revision| serde_json::json!({ "era": it.era, "revision": it.number });
         let peers: BTreeMap<&str, _> =
-            peers.into_iter().map(|(name, it)| (name, place(it))).collect();
+            peers.into_iter().map(|(name, it)| (name, revision_json(it))).collect();
         let revision = self.spread.revision();
         ret.ret(serde_json::json!({
             "name": self.node.name, "hall": self.node.hall, "peers": peers,
@@ -280,9 +282,9 @@
     }
 
     fn accept(&mut self, cx: CX![], _: Ready) {
-        // A failed accept is retried at the next event; the peer dials again.
+        // A failed accept is retried at the next event, and the peer dials again.
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.peers.len() < ACCEPT_LIMIT {
+            if self.peers.len() < MAX_PEERS {
                 self.adopt(cx, stream, None);
             }
         }
@@ -299,8 +301,8 @@
         let events = fwd_to!([cx], link_event(key) as (link::Event));
         let link = actor_new!(cx, Link, ret_nop!());
         call!([link], Link::init(stream, events, self.metrics.clone()));
-        let known = endpoint.as_ref().and_then(|it| self.endpoints.get(it));
-        let spread = known.is_some_and(|it| it.spread);
+        let dialled = endpoint.as_ref().and_then(|it| self.endpoints.get(it));
+        let spread = dialled.is_some_and(|it| it.spread);
         let hello = Body::Hello(wire::Hello {
             name: self.node.name.clone(),
             role: self.role.name().to_owned(),
@@ -314,7 +316,7 @@
             introduction: None,
             endpoint,
             spread,
-            heard: clock::now(),
+            last_received: clock::now(),
             revision: Revision::default(),
             entries: Vec::new(),
         };
@@ -324,29 +326,29 @@
 
     fn link_event(&mut self, cx: CX![], key: PeerKey, event: link::Event) {
         match event {
-            link::Event::Message(body) => self.message(cx, key, body),
+            link::Event::Message(body) => self.handle_message(cx, key, body),
             link::Event::Closed(cause) => {
-                slog::debug!(self.log, "connection closed"; "cause" => %cause);
-                self.closed(cx, key);
+                slog::debug!(self.log, "connection to peer closed"; "cause" => %cause);
+                self.remove_peer(cx, key);
             }
         }
     }
 
-    fn message(&mut self, cx: CX![], key: PeerKey, body: Body) {
+    fn handle_message(&mut self, cx: CX![], key: PeerKey, body: Body) {
         let now = clock::now();
         let Some(peer) = self.peers.get_mut(&key) else {
             return;
         };
-        peer.heard = now;
+        peer.last_received = now;
         match body {
-            Body::Hello(it) => self.hello(cx, key, it),
-            Body::Digest(it) => self.digest(now, key, &it),
-            Body::Pull(it) => self.pull(key, &it),
-            Body::Delta(it) => self.delta(cx, it),
-            Body::Removals(it) if peer.entry().is_some() => self.removals(cx, &it),
+            Body::Hello(it) => self.handle_hello(cx, key, it),
+            Body::Digest(it) => self.handle_digest(now, key, &it),
+            Body::Pull(it) => self.handle_pull(key, &it),
+            Body::Delta(it) => self.handle_delta(cx, it),
+            Body::Removals(it) if peer.entry().is_some() => self.handle_removals(cx, &it),
             Body::Entries(it) if peer.entry().is_some() => {
                 peer.entries = it.names;
-                self.meet();
+                self.update_entries();
             }
             Body::Entries(_) | Body::Removals(_) => self.metrics.ignored(Ignored::BadFrame),
             other if peer.introduction.is_some() => self.owner.fwd(Event::Message(key, other)),
@@ -354,56 +356,56 @@
         }
     }
 
-    fn hello(&mut self, cx: CX![], key: PeerKey, it: wire::Hello) {
+    fn handle_hello(&mut self, cx: CX![], key: PeerKey, message: wire::Hello) {
         let digest = self.digest_body(clock::now());
         let Some(peer) = self.peers.get_mut(&key) else {
             return;
         };
-        let named =
+        let is_listed =
             |it: &String| self.endpoints.get(it).is_some_and(|it| it.found == Found::Listed);
-        let expected = peer.endpoint.as_ref().filter(|it| named(it));
-        if expected.is_some_and(|name| *name != it.name) {
-            // The address now belongs to another process.
+        let expected = peer.endpoint.as_ref().filter(|it| is_listed(it));
+        if expected.is_some_and(|name| *name != message.name) {
+            // The address in the instance list belongs to another process now.
             self.metrics.ignored(Ignored::BadFrame);
-            self.closed(cx, key);
+            self.remove_peer(cx, key);
             return;
         }
         if let Some(endpoint) = peer.endpoint.as_ref().and_then(|it| self.endpoints.get_mut(it)) {
-            endpoint.wait = dial::REDIAL_FIRST;
+            endpoint.wait = dial::REDIAL_MIN;
         }
         let introduction = Introduction {
-            name: it.name,
-            role: it.role,
-            hall: it.hall,
-            incarnation: Incarnation(it.incarnation),
+            name: message.name,
+            role: message.role,
+            hall: message.hall,
+            incarnation: Incarnation(message.incarnation),
             dialled: peer.endpoint.clone(),
         };
-        peer.spread |= it.spread;
+        peer.spread |= message.spread;
         peer.introduction = Some(introduction.clone());
         call!([peer.link], send(digest));
-        self.tell_all_removals(key);
+        self.send_all_removals(key);
         self.owner.fwd(Event::Up(key, introduction));
-        self.count_links();
-        self.met = true;
-        self.meet();
+        self.update_link_metrics();
+        self.entries_changed = true;
+        self.update_entries();
     }
 
-    /// Tells which entries there are, for the share of each in common duties: those
-    /// connected, and those that these are connected to. Where entries find each
-    /// other by three seeds only these see all of them.
-    fn meet(&mut self) {
+    /// Updates the known entries, among which common duties are divided: those connected to this
+    /// process, and those connected to them. Where entries find each other through a few seeds,
+    /// only the seeds are connected to all entries.
+    fn update_entries(&mut self) {
         let direct = self.peers.values().filter_map(Peer::entry);
-        let told = self.peers.values().flat_map(|it| &it.entries);
-        let known: BTreeSet<&String> = direct.chain(told).collect();
+        let indirect = self.peers.values().flat_map(|it| &it.entries);
+        let known: BTreeSet<&String> = direct.chain(indirect).collect();
         let others = known.into_iter().filter(|it| **it != self.node.name);
         let names: Vec<String> = others.cloned().collect();
         self.owner.fwd(Event::Entries(names.clone()));
-        self.spread.meet(names);
+        self.spread.set_entries(names);
     }
 
-    /// Tells entries which others are connected here, if that changed.
-    fn tell_entries(&mut self) {
-        if self.role != Role::Entry || !std::mem::take(&mut self.met) {
+    /// Sends the names of the connected entries to all of these, if they have changed.
+    fn send_entries(&mut self) {
+        if self.role != Role::Entry || !std::mem::take(&mut self.entries_changed) {
             return;
         }
         let direct: BTreeSet<&String> = self.peers.values().filter_map(Peer::entry).collect();
@@ -413,25 +415,25 @@
         }
     }
 
-    pub(crate) fn closed(&mut self, _cx: CX![], key: PeerKey) {
+    pub(crate) fn remove_peer(&mut self, _cx: CX![], key: PeerKey) {
         let Some(peer) = self.peers.remove(&key) else {
             return;
         };
-        self.met |= peer.entry().is_some();
+        self.entries_changed |= peer.entry().is_some();
         let now = clock::now();
         if let Some(endpoint) = peer.endpoint.and_then(|it| self.endpoints.get_mut(&it)) {
             endpoint.peer = None;
             endpoint.next = now + endpoint.wait + rand::random_range(0..=endpoint.wait / 2);
-            endpoint.wait = (endpoint.wait * 2).min(REDIAL_LAST);
+            endpoint.wait = (endpoint.wait * 2).min(REDIAL_MAX);
         }
         if peer.introduction.is_some() {
             self.owner.fwd(Event::Down(key));
         }
-        self.count_links();
-        self.meet();
+        self.update_link_metrics();
+        self.update_entries();
     }
 
-    fn count_links(&self) {
+    fn update_link_metrics(&self) {
         let dialled = self.peers.values().filter(|it| it.endpoint.is_some()).count();
         let accepted = self.peers.len() - dialled;
         self.metrics.links.with_label_values(&["dialled"]).set(dialled as i64);
@@ -441,30 +443,30 @@
     fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
         self.ticks += 1;
-        let all = self.ticks.is_multiple_of(RARE);
-        self.tell(|it| it.spread || all);
-        self.tell_entries();
-        self.drop_silent(cx, now);
+        let include_all = self.ticks.is_multiple_of(REQUEST_LINK_FACTOR);
+        self.send_digest(|it| it.spread || include_all);
+        self.send_entries();
+        self.close_silent(cx, now);
         let every = Duration::from_millis(self.node.digest_every);
         after!(every, [cx], tick());
     }
 
-    fn drop_silent(&mut self, cx: CX![], now: Millis) {
-        let silence = SILENCE.max(self.node.digest_every * 3);
-        let limit = |it: &Peer| if it.spread { silence } else { silence * RARE };
-        let silent = |it: &Peer| {
-            let unknown = it.introduction.is_none();
-            now.saturating_sub(it.heard) > if unknown { silence } else { limit(it) }
+    fn close_silent(&mut self, cx: CX![], now: Millis) {
+        let silence = SILENCE_TIMEOUT.max(self.node.digest_every * 3);
+        let limit = |it: &Peer| if it.spread { silence } else { silence * REQUEST_LINK_FACTOR };
+        let is_silent = |it: &Peer| {
+            let anonymous = it.introduction.is_none();
+            now.saturating_sub(it.last_received) > if anonymous { silence } else { limit(it) }
         };
         let keys: Vec<PeerKey> =
-            self.peers.iter().filter(|(_, it)| silent(it)).map(|(key, _)| *key).collect();
+            self.peers.iter().filter(|(_, it)| is_silent(it)).map(|(key, _)| *key).collect();
         for key in keys {
-            self.closed(cx, key);
+            self.remove_peer(cx, key);
         }
     }
 }
 
-/// Listens for other processes.
+/// Opens the listening socket for other processes.
 pub fn listen(addr: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(addr).context(ListenSnafu { addr })
 }
--- a/crates/sablepass-edge/src/mesh/held.rs
+++ b/crates/sablepass-edge/src/mesh/held.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a mesh says of the documents that it holds, and takes in of others'.
+//! Messages of a mesh about the replicated documents: digests, pulls, deltas and removals.
 
 use std::rc::Rc;
 
@@ -25,21 +25,21 @@
         Body::Digest(self.spread.digest(now))
     }
 
-    pub(super) fn digest(&mut self, now: Millis, key: PeerKey, it: &wire::Digest) {
+    pub(super) fn handle_digest(&mut self, now: Millis, key: PeerKey, message: &wire::Digest) {
         let Some(peer) = self.peers.get_mut(&key) else {
             return;
         };
-        peer.revision = Revision::new(it.era, it.revision);
-        for pull in self.spread.compare(now, it) {
+        peer.revision = Revision::new(message.era, message.revision);
+        for pull in self.spread.compare(now, message) {
             call!([peer.link], send(Body::Pull(pull)));
         }
     }
 
-    pub(super) fn pull(&mut self, key: PeerKey, it: &wire::Pull) {
+    pub(super) fn handle_pull(&mut self, key: PeerKey, message: &wire::Pull) {
         let Some(peer) = self.peers.get(&key) else {
             return;
         };
-        match self.spread.deltas(it) {
+        match self.spread.deltas(message) {
             Ok(deltas) => {
                 for delta in deltas {
                     call!([peer.link], send(delta));
@@ -49,50 +49,50 @@
         }
     }
 
-    pub(super) fn delta(&mut self, cx: CX![], it: wire::Delta) {
-        match convert::parse_delta(it) {
-            Ok((what, delta)) => {
-                let changed = self.spread.merge(what, delta);
-                self.changed(cx, changed);
-                self.tell_removals();
+    pub(super) fn handle_delta(&mut self, cx: CX![], message: wire::Delta) {
+        match convert::parse_delta(message) {
+            Ok((kind, delta)) => {
+                let changed = self.spread.merge(kind, delta);
+                self.publish(cx, changed);
+                self.send_removals();
             }
             Err(_) => self.metrics.ignored(Ignored::BadFrame),
         }
     }
 
-    pub(super) fn read(&mut self, cx: CX![], read: reader::Read) {
+    pub(super) fn handle_read(&mut self, cx: CX![], read: reader::Read) {
         let changed = self.spread.read(clock::now(), read);
-        self.changed(cx, changed);
-        self.tell_removals();
+        self.publish(cx, changed);
+        self.send_removals();
     }
 
-    pub(super) fn removals(&mut self, cx: CX![], it: &wire::Removals) {
-        match removals::parse(it) {
-            Ok(told) => {
-                let changed = self.spread.take_removals(&told);
-                self.changed(cx, changed);
-                self.tell_removals();
+    pub(super) fn handle_removals(&mut self, cx: CX![], message: &wire::Removals) {
+        match removals::parse(message) {
+            Ok(received) => {
+                let changed = self.spread.merge_removals(&received);
+                self.publish(cx, changed);
+                self.send_removals();
             }
             Err(_) => self.metrics.ignored(Ignored::BadFrame),
         }
     }
 
-    /// Tells entries which removals they may not know. Only entries take lines from the
-    /// service, so only they can take a copy for a live one.
-    fn tell_removals(&mut self) {
-        let untold = self.spread.take_untold();
-        if untold.is_empty() || self.role != Role::Entry {
+    /// Sends removals learned recently to the connected entries. Only entries read list lines from
+    /// the platform, so only they can mistake a line of a restored backup for a current one.
+    fn send_removals(&mut self) {
+        let unsent = self.spread.take_unsent_removals();
+        if unsent.is_empty() || self.role != Role::Entry {
             return;
         }
-        let untold: Vec<Removal<'_>> = untold.iter().map(|(key, at)| (key.as_str(), *at)).collect();
-        let body = removals::body(&untold);
+        let unsent: Vec<Removal<'_>> = unsent.iter().map(|(key, at)| (key.as_str(), *at)).collect();
+        let body = removals::body(&unsent);
         for peer in self.peers.values().filter(|it| it.entry().is_some()) {
             call!([peer.link], send(body.clone()));
         }
     }
 
-    /// Tells an entry that connects all removals.
-    pub(super) fn tell_all_removals(&self, key: PeerKey) {
+    /// Sends all remembered removals to an entry that has just connected.
+    pub(super) fn send_all_removals(&self, key: PeerKey) {
         let all = self.spread.removals();
         if all.is_empty() || self.role != Role::Entry {
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    fn changed(&mut self, cx: CX![], changed: Option<StoreKind>) {
+    fn publish(&mut self, cx: CX![], changed: Option<StoreKind>) {
         match changed {
             None => return,
             Some(StoreKind::Declarations) => {
@@ -113,23 +113,23 @@
                 let listing = Listing {
                     instances: self.spread.instances().clone(),
                     revision: self.spread.list_revision(),
-                    began: self.spread.list_beginning(),
-                    back: self.spread.back(),
+                    began: self.spread.list_first_read(),
+                    back: self.spread.recovered_at(),
                 };
                 self.owner.fwd(Event::Instances(listing));
-                self.place(cx);
+                self.update_endpoints(cx);
             }
         }
-        self.announce();
+        self.send_digest_to_all();
     }
 
-    fn announce(&self) {
-        self.tell(|_| true);
+    fn send_digest_to_all(&self) {
+        self.send_digest(|_| true);
     }
 
-    pub(super) fn tell(&self, wanted: impl Fn(&Peer) -> bool) {
+    pub(super) fn send_digest(&self, selected: impl Fn(&Peer) -> bool) {
         let digest = self.digest_body(clock::now());
-        for peer in self.peers.values().filter(|it| wanted(it)) {
+        for peer in self.peers.values().filter(|it| selected(it)) {
             call!([peer.link], send(digest.clone()));
         }
     }
--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -1,10 +1,10 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reading one of the platform's services. Nothing is ever written there.
+//! Reads one of the platform's services. Nothing is ever written there.
 //!
-//! The actor makes one call at a time and reports what it gave; when to call
-//! is decided by [`crate::spread`].
+//! The actor makes one call at a time and reports its result; [`crate::spread`] decides when to
+//! call.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,206 +22,213 @@
 use crate::instance::{Instance, Role};
 use crate::telemetry::Metrics;
 
-/// Time beyond the wait of a watch after which a call has failed. The service
-/// answers in milliseconds; a slow one is waited for this long.
-const CALL_TIME: Duration = Duration::from_millis(1_500);
-/// Longest answer read: documents of up to 1 MiB, some hundred of them.
-const ANSWER_LIMIT: usize = 64 << 20;
-/// Restores of the store that a process may have missed. An era that is further ahead is
-/// not believed: taken by mistake, it would hide every later one.
-const MOST_RESTORES: u64 = 10_000;
+/// Time after the wait of a watch at which the call fails. The service normally answers in
+/// milliseconds; the rest allows for a slow one.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum size of an answer: some hundred documents of up to 1 MiB.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Maximum number of restores of the store that this process may have missed. A larger step of the
+/// era is rejected: if it were accepted by mistake, all correct later eras would look old.
+const MAX_MISSED_RESTORES: u64 = 10_000;
 
-/// Why a read failed.
+/// Error of a read.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// There was no whole answer.
+    /// No complete answer arrived.
     #[snafu(display("call: {source}"))]
     Call {
-        /// Why.
+        /// Underlying error.
         source: caller::Error,
     },
-    /// The service refused.
-    #[snafu(display("call: status {status}"))]
+    /// The service answered with an error status.
+    #[snafu(display("call: HTTP status {status}"))]
     Status {
         /// HTTP status.
         status: u16,
     },
-    /// The service has forgotten what changed after the revision held.
-    #[snafu(display("the service has forgotten what changed after revision {after}"))]
-    History {
-        /// The revision.
+    /// The service no longer has the changes after the revision of the replica, so that a full read
+    /// is required.
+    #[snafu(display(
+        "service no longer has the changes after revision {after}; a full read is required"
+    ))]
+    HistoryGone {
+        /// Revision number of the replica.
         after: u64,
     },
-    /// The service was restored from a copy: what changed after the revision held is not
-    /// known there.
-    #[snafu(display("the service was restored: era {now}, {held} was held"))]
+    /// The service was restored from a backup, and has lost the changes after the revision of the
+    /// replica or a part of them.
+    #[snafu(display(
+        "service was restored from a backup: era {now} follows era {held} of the replica"
+    ))]
     Restored {
-        /// Era of the revision held.
+        /// Era of the replica.
         held: u64,
         /// Era of the answer.
         now: u64,
     },
-    /// The answer is from before the service was restored.
-    #[snafu(display("the answer is of era {now}, {held} is held"))]
-    Earlier {
-        /// Era of the revision held.
+    /// The answer is of an era from before the service was restored.
+    #[snafu(display("answer of era {now} is older than era {held} of the replica"))]
+    OldEra {
+        /// Era of the replica.
         held: u64,
         /// Era of the answer.
         now: u64,
     },
-    /// The answer is not of the expected shape.
+    /// The answer is not JSON of the expected shape.
     #[snafu(display("answer: {source}"))]
     Answer {
-        /// Why.
+        /// Underlying error.
         source: serde_json::Error,
     },
-    /// The answer of the platform's store does not decode.
+    /// The answer of the platform's store cannot be decoded.
     #[snafu(display("answer: {source}"))]
     Platform {
-        /// Why.
+        /// Underlying error.
         source: platform::Error,
     },
 }
 
-/// How a service is read.
+/// Protocol by which the platform's services are read.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Form {
-    /// `GET /v1/config` and `/v1/instances` with what changed after a revision.
+    /// `GET /v1/config` and `GET /v1/instances`, which return the changes after a revision.
     #[default]
     Changes,
-    /// The platform's key-value store: range reads and watches.
+    /// Range reads and watches of the platform's key-value store.
     Keys,
 }
 
-/// A read to be made.
+/// Parameters of a read.
 #[derive(Clone, Copy, Debug)]
 pub struct Order {
-    /// The revision held.
+    /// Revision of the replica.
     pub after: Revision,
-    /// How long the service may wait for a change.
+    /// Maximum time for which the service may hold the call until something changes.
     pub wait: Duration,
-    /// Everything is to be read, not only what changed.
+    /// Read the full state instead of the changes only.
     pub whole: bool,
 }
 
-/// What a read gave.
+/// Content of a successful read.
 #[derive(Debug)]
 pub struct Batch {
-    /// The documents.
+    /// The documents read.
     pub delta: Delta,
-    /// Items that cannot be taken.
+    /// Rejected items.
     pub problems: Vec<Problem>,
 }
 
-/// A read that ended.
+/// Outcome of a read.
 #[derive(Debug)]
 pub struct Read {
-    /// Of which service.
-    pub what: StoreKind,
-    /// The service's era, if it answered and named one.
+    /// The service that was read.
+    pub kind: StoreKind,
+    /// Era of the service, if an answer named one.
     pub era: Option<u64>,
-    /// Why the era that it named is not believed.
-    pub doubt: Option<platform::Error>,
-    /// Header fields of the answer that nobody reads.
+    /// The reason why the era in the answer was rejected.
+    pub rejected_era: Option<platform::Error>,
+    /// Header fields of the answer that this program does not interpret.
     pub unread: Vec<String>,
-    /// What it gave.
+    /// The content read, or the error.
     pub result: Result<Batch, Error>,
 }
 
-/// The read under way.
-struct Reading {
+/// A read that has not finished.
+struct PendingRead {
     order: Order,
-    /// Items of the pages before, and the revision of the first one.
+    /// Revision of the first page, and the items of all pages so far.
     pages: Option<(Revision, Vec<store::Change>)>,
 }
 
-/// The actor.
+/// Actor that reads one service.
 pub struct Reader {
-    what: StoreKind,
+    kind: StoreKind,
     form: Form,
     owner: Fwd<Read>,
     metrics: Arc<Metrics>,
     caller: ActorOwn<Caller>,
-    reading: Option<Reading>,
+    pending: Option<PendingRead>,
 }
 
 impl Reader {
-    /// Opens a reader that has made no call.
+    /// Creates a reader, which makes its first call when [`Self::order`] is called.
     pub fn init(
         cx: CX![],
-        what: StoreKind,
+        kind: StoreKind,
         form: Form,
         addr: SocketAddr,
         metrics: Arc<Metrics>,
         owner: Fwd<Read>,
     ) -> Option<Self> {
         let caller = actor_new!(cx, Caller, ret_nop!());
-        let answers = fwd_to!([cx], heard() as (Result<Answer, caller::Error>));
-        call!([caller], Caller::init(addr, ANSWER_LIMIT, answers));
-        Some(Self { what, form, owner, metrics, caller, reading: None })
+        let answers = fwd_to!([cx], handle_answer() as (Result<Answer, caller::Error>));
+        call!([caller], Caller::init(addr, MAX_ANSWER_BYTES, answers));
+        Some(Self { kind, form, owner, metrics, caller, pending: None })
     }
 
-    /// Makes a read. One that is still under way is given up.
+    /// Starts a read. A pending one is abandoned.
     pub fn order(&mut self, _cx: CX![], order: Order) {
-        self.reading = Some(Reading { order, pages: None });
+        self.pending = Some(PendingRead { order, pages: None });
         self.send(order, None);
     }
 
     fn send(&self, order: Order, page_after: Option<&str>) {
-        let call = Call::get(self.path(order, page_after), order.wait + CALL_TIME);
+        let call = Call::get(self.path(order, page_after), order.wait + CALL_TIMEOUT);
         call!([self.caller], call(call));
     }
 
     fn path(&self, order: Order, page_after: Option<&str>) -> String {
         let wait = order.wait;
-        match (self.form, self.what) {
-            (Form::Changes, what) => {
-                let name = name(what);
+        match (self.form, self.kind) {
+            (Form::Changes, kind) => {
+                let label = service_label(kind);
                 let wait = wait.as_millis();
-                format!("/v1/{name}?after={}&wait_ms={wait}", order.after.number)
+                format!("/v1/{label}?after={}&wait_ms={wait}", order.after.number)
             }
-            (Form::Keys, what) if order.whole => store::range_path(prefix(what), page_after),
-            (Form::Keys, what) => store::watch_path(prefix(what), order.after.number, wait),
+            (Form::Keys, kind) if order.whole => store::range_path(prefix(kind), page_after),
+            (Form::Keys, kind) => store::watch_path(prefix(kind), order.after.number, wait),
         }
     }
 
-    fn heard(&mut self, _cx: CX![], result: Result<Answer, caller::Error>) {
-        let Some(reading) = self.reading.take() else { return };
-        let held = reading.order.after.era;
+    fn handle_answer(&mut self, _cx: CX![], result: Result<Answer, caller::Error>) {
+        let Some(pending) = self.pending.take() else { return };
+        let held = pending.order.after.era;
         let none = HeaderMap::new();
         let fields = result.as_ref().map_or(&none, |it| &it.fields);
-        let (era, doubt) = self.era(held, fields);
+        let (era, rejected_era) = self.era(held, fields);
         let unread = match self.form {
             Form::Changes => Vec::new(),
             Form::Keys => store::unread(fields).map(str::to_owned).collect(),
         };
-        if let Some(result) = self.answered(reading, era.unwrap_or(held), result) {
-            self.report(Read { what: self.what, era, doubt, unread, result });
+        if let Some(result) = self.parse_answer(pending, era.unwrap_or(held), result) {
+            self.report(Read { kind: self.kind, era, rejected_era, unread, result });
         }
     }
 
-    /// The era that an answer names, or why that is not believed. An answer without one is
-    /// of the era held.
+    /// The era named by an answer, or the error if that is malformed or implausible. An answer
+    /// without an era counts as one of the replica's era.
     fn era(&self, held: u64, fields: &HeaderMap) -> (Option<u64>, Option<platform::Error>) {
         match (self.form, store::era(fields)) {
             (Form::Changes, _) => (None, None),
             (Form::Keys, Err(e)) => (None, Some(e)),
-            (Form::Keys, Ok(Some(era))) if held > 0 && era > held.saturating_add(MOST_RESTORES) => {
+            (Form::Keys, Ok(Some(era)))
+                if held > 0 && era > held.saturating_add(MAX_MISSED_RESTORES) =>
+            {
                 (None, Some(platform::Error::EraJump { held, era }))
             }
             (Form::Keys, Ok(era)) => (era, None),
         }
     }
 
-    /// What an answer of an era gives; none if more pages are to come.
-    fn answered(
+    /// Turns an answer into the result of the read. Returns `None` if more pages follow.
+    fn parse_answer(
         &mut self,
-        reading: Reading,
+        pending: PendingRead,
         era: u64,
         result: Result<Answer, caller::Error>,
     ) -> Option<Result<Batch, Error>> {
-        let order = reading.order;
+        let order = pending.order;
         let held = order.after.era;
         let Answer { status, body, .. } = match result {
             Ok(it) => it,
@@ -231,40 +238,41 @@
             return Some(Err(Error::Restored { held, now: era }));
         }
         if status == store::HISTORY_GONE {
-            return Some(Err(Error::History { after: order.after.number }));
+            return Some(Err(Error::HistoryGone { after: order.after.number }));
         }
         if status != 200 {
             return Some(Err(Error::Status { status }));
         }
         match self.form {
-            Form::Changes => Some(changes(order, &body)),
+            Form::Changes => Some(parse_changes(order, &body)),
             Form::Keys if order.whole => match store::page(&body) {
-                Ok(page) => self.add_page(reading, era, page),
+                Ok(page) => self.add_page(pending, era, page),
                 Err(source) => Some(Err(Error::Platform { source })),
             },
-            Form::Keys if era < held => Some(Err(Error::Earlier { held, now: era })),
-            Form::Keys => Some(self.watched(order, &body)),
+            Form::Keys if era < held => Some(Err(Error::OldEra { held, now: era })),
+            Form::Keys => Some(self.parse_watch(order, &body)),
         }
     }
 
-    /// Takes a page in. The batch, if it was the last; else the next is asked for.
-    /// Pages are no snapshot: what changed since the first is watched from there.
+    /// Adds a page. Returns the batch after the last one; otherwise requests the next page. The
+    /// pages are not a snapshot, so the next watch starts at the first page's revision to receive
+    /// the changes made in between.
     fn add_page(
         &mut self,
-        mut reading: Reading,
+        mut pending: PendingRead,
         era: u64,
         page: store::Page,
     ) -> Option<Result<Batch, Error>> {
-        let order = reading.order;
+        let order = pending.order;
         let last = page.items.last().map(|it| it.key.clone());
         let first = Revision::new(era, page.revision);
-        let (revision, items) = reading.pages.get_or_insert((first, Vec::new()));
+        let (revision, items) = pending.pages.get_or_insert((first, Vec::new()));
         if revision.era != era {
             return Some(Err(Error::Restored { held: revision.era, now: era }));
         }
         items.extend(page.items);
         if page.more && last.is_some() {
-            self.reading = Some(reading);
+            self.pending = Some(pending);
             self.send(order, last.as_deref());
             return None;
         }
@@ -272,10 +280,10 @@
         Some(Ok(self.batch(true, order.after.min(revision), revision, items)))
     }
 
-    fn watched(&self, order: Order, body: &[u8]) -> Result<Batch, Error> {
-        let it = store::changes(body).context(PlatformSnafu)?;
-        let revision = Revision::new(order.after.era, it.revision);
-        Ok(self.batch(false, order.after, revision, it.changes))
+    fn parse_watch(&self, order: Order, body: &[u8]) -> Result<Batch, Error> {
+        let watch = store::changes(body).context(PlatformSnafu)?;
+        let revision = Revision::new(order.after.era, watch.revision);
+        Ok(self.batch(false, order.after, revision, watch.changes))
     }
 
     fn batch(
@@ -287,9 +295,9 @@
     ) -> Batch {
         let mut documents = Vec::new();
         let mut problems = Vec::new();
-        for it in changes {
-            let (it, problem) = document(self.what, revision.era, it);
-            documents.push(it);
+        for change in changes {
+            let (document, problem) = to_document(self.kind, revision.era, change);
+            documents.push(document);
             problems.extend(problem);
         }
         let whole = whole.then_some(Coverage::All(revision));
@@ -298,54 +306,56 @@
 
     fn report(&mut self, read: Read) {
         let outcome = if read.result.is_ok() { "ok" } else { "failed" };
-        self.metrics.reads.with_label_values(&[name(self.what), outcome]).inc();
+        self.metrics.reads.with_label_values(&[service_label(self.kind), outcome]).inc();
         self.owner.fwd(read);
     }
 }
 
-fn name(what: StoreKind) -> &'static str {
-    match what {
+fn service_label(kind: StoreKind) -> &'static str {
+    match kind {
         StoreKind::Declarations => "config",
         StoreKind::Instances => "instances",
     }
 }
 
-fn prefix(what: StoreKind) -> &'static str {
-    match what {
+fn prefix(kind: StoreKind) -> &'static str {
+    match kind {
         StoreKind::Declarations => config::PREFIX,
         StoreKind::Instances => replica::PREFIX,
     }
 }
 
-/// An item that cannot be taken, and why.
+/// An item that was rejected.
 #[derive(Debug)]
 pub struct Problem {
-    /// Its key.
+    /// Key of the item.
     pub key: String,
-    /// Revision of its last change.
+    /// Revision of the item's last change.
     pub revision: Revision,
-    /// Why.
+    /// Underlying error.
     pub error: platform::Error,
 }
 
-/// A store item as a document. Replicas become lines of the instance list; an
-/// entry that cannot be taken names none, as if it were gone, after a watch as
-/// after a read of everything. A declaration that cannot be read is one that is
-/// refused: the last accepted one stays in force.
-fn document(what: StoreKind, era: u64, it: store::Change) -> (Document, Option<Problem>) {
-    let (key, revision) = (it.key, Revision::new(era, it.revision));
-    let body = it.value.and_then(|value| match (what, value) {
-        (StoreKind::Instances, Some(text)) => Ok(Some(line(replica::decode(&key, &text)?).text())),
+/// Converts an item of the store into a document. Replicas become lines of the instance list. A
+/// replica that cannot be decoded is treated as removed, after a watch as well as after a full
+/// read. A declaration that cannot be decoded becomes a refused one: the last accepted version
+/// stays in force.
+fn to_document(kind: StoreKind, era: u64, change: store::Change) -> (Document, Option<Problem>) {
+    let (key, revision) = (change.key, Revision::new(era, change.revision));
+    let body = change.value.and_then(|value| match (kind, value) {
+        (StoreKind::Instances, Some(text)) => {
+            Ok(Some(list_line(replica::decode(&key, &text)?).text()))
+        }
         (_, value) => Ok(value),
     });
-    let name = match what {
+    let name = match kind {
         StoreKind::Instances => key.trim_start_matches(replica::PREFIX).to_owned(),
         StoreKind::Declarations => key.clone(),
     };
     let (body, problem) = match body {
         Ok(it) => (it, None),
         Err(error) => {
-            let refused = (what == StoreKind::Declarations).then(String::new);
+            let refused = (kind == StoreKind::Declarations).then(String::new);
             (refused, Some(Problem { key, revision, error }))
         }
     };
@@ -354,20 +364,20 @@
     (Document { key: name, newest, removed, accepted: None }, problem)
 }
 
-fn line(it: replica::Replica) -> Instance {
+fn list_line(replica: replica::Replica) -> Instance {
     Instance {
         role: Role::Target,
-        hall: it.hall,
-        addr: it.address,
-        leaving: it.leaving,
-        serves: it.service,
-        capacity: it.slots,
-        born: it.born,
+        hall: replica.hall,
+        addr: replica.address,
+        leaving: replica.leaving,
+        serves: replica.service,
+        capacity: replica.slots,
+        born: replica.born,
         revision: Revision::default(),
     }
 }
 
-/// An answer of the own form: what changed after a revision.
+/// Answer in [`Form::Changes`]: the changes after a revision.
 #[derive(Debug, Deserialize)]
 struct Changes {
     revision: u64,
@@ -384,16 +394,16 @@
     body: String,
 }
 
-fn changes(order: Order, body: &[u8]) -> Result<Batch, Error> {
-    let it: Changes = serde_json::from_slice(body).context(AnswerSnafu)?;
+fn parse_changes(order: Order, body: &[u8]) -> Result<Batch, Error> {
+    let changes: Changes = serde_json::from_slice(body).context(AnswerSnafu)?;
     let document = |it: ChangedDocument| Document {
         key: it.key,
         newest: Version { revision: it.revision.into(), body: it.body },
         removed: it.removed,
         accepted: None,
     };
-    let documents = it.documents.into_iter().map(document).collect();
-    let revision = it.revision.into();
+    let documents = changes.documents.into_iter().map(document).collect();
+    let revision = changes.revision.into();
     let delta = Delta { after: order.after, revision, documents, whole: None };
     Ok(Batch { delta, problems: Vec::new() })
 }
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -1,14 +1,14 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a process holds of the platform's two services, and when it reads
-//! them itself.
+//! The replica of the platform's declarations and instance list in this process, and the choice of
+//! when to read the platform directly. Used by [`crate::mesh`].
 //!
-//! Both the declarations and the instance list spread alike: a few readers
-//! read, everybody else pulls from peers that hold more. Where the platform
-//! lists our own processes, the readers are a few of each hall. Where it does
-//! not, entries find each other through seeds: each watches the declarations,
-//! and a few of them the list, whose changes are many.
+//! Both stores are replicated in the same way: a few readers read the platform, and all other
+//! processes pull from peers that hold a later revision. Where the platform's instance list names
+//! our own processes, a few processes of each hall are readers. Where it does not, entries find
+//! each other through seeds: every entry watches the declarations, and only a few read the instance
+//! list, because it changes often.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -40,94 +40,97 @@
 mod removals;
 mod report;
 
-/// Bytes of documents in one delta.
-const DELTA_SIZE: usize = 512 * 1024;
-/// Time beyond its wait after which an outstanding watch no longer counts as good.
+/// Maximum size of the documents in one delta.
+const DELTA_SIZE_BYTES: usize = 512 * 1024;
+/// Time after the end of its wait for which an outstanding watch still counts as proof that the
+/// service is reachable.
 const WATCH_GRACE: Millis = 2_000;
-/// First wait before a failed read is made again. Doubles up to [`RETRY_LAST`].
+/// Delay before the first retry of a failed read. Doubles up to [`RETRY_MAX`].
 const RETRY_FIRST: Millis = 100;
-/// Longest wait before a failed read is made again: an outage ends unseen for that long.
-const RETRY_LAST: Millis = 800;
-/// Time in which a peer answers a pull: some round trips and the transfer of a
-/// large document over a slow link.
-const PULL_TIME: Millis = 250;
-/// Least time between two reads of declarations, so that a burst of changes
-/// does not become a burst of calls.
-const WATCH_PACE: Millis = 50;
-
-/// Time beyond the wait of a call after which its answer is late: the service, which answers
-/// in milliseconds, was away meanwhile.
-const LATE: Millis = 500;
-
-/// Items that cannot be taken whose last line is remembered, so that the next
-/// read of everything does not repeat it.
-const MOST_BAD: usize = 1_024;
-
-/// One service and its reader.
+/// Maximum delay before a retry of a failed read: the end of an outage can go unnoticed for this
+/// long.
+const RETRY_MAX: Millis = 800;
+/// Time allowed for a peer to answer a pull: some round trips and the transfer of a large document
+/// over a slow link.
+const PULL_TIMEOUT: Millis = 250;
+/// Minimum time between two reads of the declarations, so that a burst of changes does not cause a
+/// burst of calls.
+const MIN_WATCH_INTERVAL: Millis = 50;
+
+/// Delay after the end of a call's wait from which its answer counts as late. The service normally
+/// answers in milliseconds, so a late answer means that it was unavailable in between.
+const LATE_ANSWER: Millis = 500;
+
+/// Maximum number of rejected items remembered per service, so that the next full read does not log
+/// them again.
+const MAX_REJECTED_ITEMS: usize = 1_024;
+
+/// The local replica of one platform service, and the reader that updates it.
 struct Source {
     store: Store,
     reader: ActorOwn<Reader>,
-    /// When the call that is under way was ordered.
-    ordered: Option<Millis>,
-    /// When the last call is answered by a service that is well.
-    due: Millis,
-    /// Whether the last call succeeded and was not stale.
-    good: bool,
-    /// Calls that failed in a row.
+    /// Time at which the pending call was ordered.
+    ordered_at: Option<Millis>,
+    /// Time by which a healthy service answers the last call.
+    answer_due: Millis,
+    /// Whether the last call succeeded with an answer that was not stale.
+    healthy: bool,
+    /// Consecutive failed calls.
     failures: u32,
-    /// Everything has to be read, not only what changed.
-    whole: bool,
-    /// Items that could not be taken, with the revision at which that was said.
-    bad: BTreeMap<String, Revision>,
-    /// When the next call is due.
-    next: Millis,
-    /// The last pull: when, and from which revision. The same is not asked of
-    /// a second peer while the first may still answer.
-    pulled: Option<(Millis, Revision)>,
+    /// The next call must read the full state instead of the changes only.
+    full_read: bool,
+    /// Rejected items by key, with the revision at which each was last reported.
+    rejected: BTreeMap<String, Revision>,
+    /// Earliest time of the next call.
+    next_call: Millis,
+    /// Time and start revision of the last pull. The same pull is not sent to a second peer while
+    /// the first one may still answer.
+    last_pull: Option<(Millis, Revision)>,
 }
 
 impl Source {
-    fn open(store: Store, reader: ActorOwn<Reader>, whole: bool) -> Self {
+    fn open(store: Store, reader: ActorOwn<Reader>, full_read: bool) -> Self {
         Self {
             store,
             reader,
-            ordered: None,
-            due: 0,
-            good: false,
+            ordered_at: None,
+            answer_due: 0,
+            healthy: false,
             failures: 0,
-            whole,
-            bad: BTreeMap::new(),
-            next: 0,
-            pulled: None,
+            full_read,
+            rejected: BTreeMap::new(),
+            next_call: 0,
+            last_pull: None,
         }
     }
 
     fn order(&mut self, now: Millis, wait: Duration) {
-        self.ordered = Some(now);
-        let wait = if self.whole { Duration::ZERO } else { wait };
-        self.due = now + wait.as_millis() as Millis;
-        let order = Order { after: self.store.revision(), wait, whole: self.whole };
+        self.ordered_at = Some(now);
+        let wait = if self.full_read { Duration::ZERO } else { wait };
+        self.answer_due = now + wait.as_millis() as Millis;
+        let order = Order { after: self.store.revision(), wait, whole: self.full_read };
         call!([self.reader], order(order));
     }
 
     fn may_pull(&mut self, now: Millis, after: Revision) -> bool {
-        let waits = self.pulled.is_some_and(|(at, from)| from == after && now < at + PULL_TIME);
-        if !waits {
-            self.pulled = Some((now, after));
+        let pending =
+            self.last_pull.is_some_and(|(at, from)| from == after && now < at + PULL_TIMEOUT);
+        if !pending {
+            self.last_pull = Some((now, after));
         }
-        !waits
+        !pending
     }
 
-    /// When a failed call is made again. Spread, so that processes which
-    /// failed together do not come back together.
-    fn retry_at(&mut self, now: Millis) -> Millis {
+    /// Counts a failure and returns the time of the retry. Jitter keeps processes that failed
+    /// together from retrying together.
+    fn next_retry(&mut self, now: Millis) -> Millis {
         self.failures += 1;
-        let wait = (RETRY_FIRST << (self.failures - 1).min(8)).min(RETRY_LAST);
+        let wait = (RETRY_FIRST << (self.failures - 1).min(8)).min(RETRY_MAX);
         now + wait + rand::random_range(0..=wait / 2)
     }
 }
 
-/// What is held.
+/// Replicas of the declarations and of the instance list, and the state for keeping them current.
 pub struct Spread {
     node: Node,
     role: Role,
@@ -135,28 +138,28 @@
     metrics: Arc<Metrics>,
     declarations: Source,
     list: Source,
-    /// The list as parsed. Lines that do not parse are left out.
+    /// The parsed instance list, by name. Lines that do not parse are left out.
     instances: Rc<BTreeMap<String, Instance>>,
-    /// Entries that there are, without this process.
+    /// Names of all known entries except this process.
     entries: Vec<String>,
     started: Millis,
-    /// When the service that readers share the reading of last answered anybody.
-    fresh: Millis,
-    /// When the service of the instance list was away.
+    /// Last time at which [`Self::shared_service`] is known to have answered any process.
+    last_answer: Millis,
+    /// Outages of the instance list's service.
     outages: Outages,
-    /// Era of the platform's service, as its last answer names it.
+    /// Era named by the last answer of the platform's service.
     era: Option<u64>,
-    /// Whether the last answer named an era that is not believed.
-    doubted: bool,
-    /// Removals of which other entries have to be told.
-    untold: BTreeMap<String, Revision>,
-    /// Era in which all removals were told.
-    told_in: u64,
+    /// Whether the last answer named an implausible era.
+    era_rejected: bool,
+    /// Removals not sent to other entries yet.
+    unsent_removals: BTreeMap<String, Revision>,
+    /// Era of the list in which all removals were last sent.
+    removals_sent_era: u64,
     unread: Unread,
 }
 
 impl Spread {
-    /// Opens empty stores and their readers, whose reads go to `to`.
+    /// Opens empty stores and their readers. The readers send their results to `to`.
     pub fn open(
         core: &mut Core,
         now: Millis,
@@ -170,10 +173,10 @@
             Form::Changes => declaration::check,
             Form::Keys => sablepass_platform::config::check,
         };
-        let mut source = |what, addr: SocketAddr| {
+        let mut source = |kind, addr: SocketAddr| {
             let reader = actor_new!(core, Reader, ret_nop!());
-            call!([reader], Reader::init(what, form, addr, metrics.clone(), to.clone()));
-            Source::open(Store::open_with(what, check), reader, form == Form::Keys)
+            call!([reader], Reader::init(kind, form, addr, metrics.clone(), to.clone()));
+            Source::open(Store::open_with(kind, check), reader, form == Form::Keys)
         };
         let declarations = source(StoreKind::Declarations, node.platform_addr());
         let list = source(StoreKind::Instances, node.instances_addr());
@@ -187,55 +190,55 @@
             instances: Rc::default(),
             entries: Vec::new(),
             started: now,
-            fresh: 0,
+            last_answer: 0,
             outages: Outages::open(node.watch),
             era: None,
-            doubted: false,
-            untold: BTreeMap::new(),
-            told_in: 0,
+            era_rejected: false,
+            unsent_removals: BTreeMap::new(),
+            removals_sent_era: 0,
             unread: Unread::default(),
         }
     }
 
-    /// Says which other entries there are.
-    pub fn meet(&mut self, entries: Vec<String>) {
+    /// Sets the names of the other entries.
+    pub fn set_entries(&mut self, entries: Vec<String>) {
         self.entries = entries;
     }
 
-    /// Whether the instance list names entries, so that they are found there.
+    /// Whether the instance list names entries, which makes seeds unnecessary.
     pub fn lists_entries(&self) -> bool {
         self.instances.values().any(|it| it.role == Role::Entry)
     }
 
-    fn source(&mut self, what: StoreKind) -> &mut Source {
-        match what {
+    fn source(&mut self, kind: StoreKind) -> &mut Source {
+        match kind {
             StoreKind::Declarations => &mut self.declarations,
             StoreKind::Instances => &mut self.list,
         }
     }
 
-    /// Revision of the declarations held.
+    /// Revision of the declarations in this replica.
     pub fn revision(&self) -> Revision {
         self.declarations.store.revision()
     }
 
-    /// Revision of the instance list held.
+    /// Revision of the instance list in this replica.
     pub fn list_revision(&self) -> Revision {
         self.list.store.revision()
     }
 
-    /// The earliest revision of the list's era at which anybody is known to have read it.
-    pub fn list_beginning(&self) -> Revision {
+    /// The earliest revision of the list's current era at which any process is known to have read
+    /// the list.
+    pub fn list_first_read(&self) -> Revision {
         self.list.store.first_read()
     }
 
-    /// Time since the service that readers share the reading of last answered
-    /// anybody, as far as this process can have heard of it.
+    /// Time since [`Self::shared_service`] last answered any process, as far as this process knows.
     pub fn age(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.fresh.max(self.started))
+        now.saturating_sub(self.last_answer.max(self.started))
     }
 
-    /// The catalogue of the declarations held, with a line for what is refused.
+    /// Builds the catalogue of the declarations and logs each refused one.
     pub fn catalogue(&self) -> Catalogue {
         let catalogue = Catalogue::build(&self.declarations.store);
         for (key, e) in &catalogue.refused {
@@ -244,26 +247,30 @@
         catalogue
     }
 
-    /// When the service of the instance list last came back; 0 if it never was away.
-    pub fn back(&self) -> Millis {
+    /// Time at which the instance list's service last recovered from an outage; 0 if it had none.
+    pub fn recovered_at(&self) -> Millis {
         self.outages.recovered_at()
     }
 
-    /// The instances listed, by name.
+    /// The instances in the list, by name.
     pub fn instances(&self) -> &Rc<BTreeMap<String, Instance>> {
         &self.instances
     }
 
     fn parse_instances(&self) -> BTreeMap<String, Instance> {
         let live = self.list.store.documents().filter(|it| !it.removed);
-        let parse = |it: &Document| {
-            let instance = Instance::parse(&it.newest.body).ok()?;
-            Some((it.key.clone(), Instance { revision: it.newest.revision, ..instance }))
+        let parse = |document: &Document| {
+            let instance = Instance::parse(&document.newest.body).ok()?;
+            Some((
+                document.key.clone(),
+                Instance { revision: document.newest.revision, ..instance },
+            ))
         };
         live.filter_map(parse).collect()
     }
 
-    /// Per document what is desired, in force, and refused why.
+    /// Status of each document as JSON: desired revision, revision in force, and reason for a
+    /// refusal.
     pub fn status(&self) -> Vec<serde_json::Value> {
         let catalogue = Catalogue::build(&self.declarations.store);
         let line = |it: &Document| {
@@ -282,14 +289,14 @@
 
     // Peers.
 
-    /// What peers are told.
+    /// The digest that is announced to peers.
     pub fn digest(&self, now: Millis) -> wire::Digest {
         let declarations = self.declarations.store.digest();
         let instances = self.list.store.digest();
         wire::Digest {
             revision: declarations.revision.number,
             hash: declarations.hash,
-            age: u32::try_from(now.saturating_sub(self.fresh)).unwrap_or(u32::MAX),
+            age: u32::try_from(now.saturating_sub(self.last_answer)).unwrap_or(u32::MAX),
             list_revision: instances.revision.number,
             list_hash: instances.hash,
             list_since: instances.since.number,
@@ -301,46 +308,47 @@
         }
     }
 
-    /// What to ask a peer for, given what it holds.
-    pub fn compare(&mut self, now: Millis, it: &wire::Digest) -> Vec<wire::Pull> {
-        self.fresh = self.fresh.max(now.saturating_sub(Millis::from(it.age)));
-        if self.shared() == StoreKind::Instances {
-            self.outages.answered(self.fresh);
+    /// Compares a peer's digest with this replica and returns the pulls to send to that peer.
+    pub fn compare(&mut self, now: Millis, peer: &wire::Digest) -> Vec<wire::Pull> {
+        self.last_answer = self.last_answer.max(now.saturating_sub(Millis::from(peer.age)));
+        if self.shared_service() == StoreKind::Instances {
+            self.outages.answered(self.last_answer);
         }
         let declarations = Digest {
-            revision: Revision::new(it.era, it.revision),
-            hash: it.hash,
+            revision: Revision::new(peer.era, peer.revision),
+            hash: peer.hash,
             since: Revision::default(),
         };
         let instances = Digest {
-            revision: Revision::new(it.list_era, it.list_revision),
-            hash: it.list_hash,
-            since: Revision::new(it.list_since_era, it.list_since),
+            revision: Revision::new(peer.list_era, peer.list_revision),
+            hash: peer.list_hash,
+            since: Revision::new(peer.list_since_era, peer.list_since),
         };
         let theirs = [(StoreKind::Declarations, declarations), (StoreKind::Instances, instances)];
         let mut pulls = Vec::new();
-        let began = Revision::new(it.list_began_era, it.list_began);
-        if self.list.store.observe_first_read(began) {
+        let first_read = Revision::new(peer.list_began_era, peer.list_began);
+        if self.list.store.observe_first_read(first_read) {
             pulls.push(convert::pull(StoreKind::Instances, &self.list.store.pull(true)));
         }
-        for (what, digest) in theirs {
-            if !self.is_held(what) {
+        for (kind, digest) in theirs {
+            if !self.is_held(kind) {
                 continue;
             }
-            let (compare, ignored) = self.source(what).store.compare(digest);
+            let (compare, ignored) = self.source(kind).store.compare(digest);
             if let Some(reason) = ignored {
                 self.metrics.ignored(reason);
             }
             if let Compare::Pull(pull) = compare
-                && self.source(what).may_pull(now, pull.after)
+                && self.source(kind).may_pull(now, pull.after)
             {
-                pulls.push(convert::pull(what, &pull));
+                pulls.push(convert::pull(kind, &pull));
             }
         }
         pulls
     }
 
-    /// The documents in force that their operators numbered.
+    /// Versions of the documents in force, as space-separated `key=version` pairs. Documents
+    /// without a version number are left out.
     fn versions(&self) -> String {
         let version = |it: &Verdict| it.force.as_ref()?.1.version;
         let all = self.declarations.store.verdicts().iter();
@@ -348,26 +356,26 @@
         numbered.collect::<Vec<String>>().join(" ")
     }
 
-    /// The answer to a peer's pull.
-    pub fn deltas(&mut self, it: &wire::Pull) -> Result<Vec<Body>, convert::Error> {
-        let (what, pull) = convert::parse_pull(it)?;
-        let deltas = self.source(what).store.deltas(&pull, DELTA_SIZE);
-        Ok(deltas.iter().map(|it| convert::delta(what, it)).collect())
+    /// Returns the deltas that answer a peer's pull.
+    pub fn deltas(&mut self, request: &wire::Pull) -> Result<Vec<Body>, convert::Error> {
+        let (kind, pull) = convert::parse_pull(request)?;
+        let deltas = self.source(kind).store.deltas(&pull, DELTA_SIZE_BYTES);
+        Ok(deltas.iter().map(|it| convert::delta(kind, it)).collect())
     }
 
-    /// Takes a delta in. Returns what changed.
-    pub fn merge(&mut self, what: StoreKind, it: Delta) -> Option<StoreKind> {
-        // A revision that brings no document is known to peers by the next digest.
-        let empty = it.documents.is_empty() && it.whole.is_none();
-        let merged = self.source(what).store.merge(it);
-        self.report_rejected(what);
+    /// Merges a delta. Returns the kind of store if its documents changed.
+    pub fn merge(&mut self, kind: StoreKind, delta: Delta) -> Option<StoreKind> {
+        // A revision without documents reaches peers with the next digest.
+        let empty = delta.documents.is_empty() && delta.whole.is_none();
+        let merged = self.source(kind).store.merge(delta);
+        self.report_rejected(kind);
         self.metrics.revision.set(self.revision().number as i64);
         match merged {
             Ok(false) => None,
             Ok(true) if empty => None,
             Ok(true) => {
-                self.note(what);
-                Some(what)
+                self.apply_change(kind);
+                Some(kind)
             }
             Err(reason) => {
                 self.metrics.ignored(reason);
@@ -376,8 +384,8 @@
         }
     }
 
-    fn note(&mut self, what: StoreKind) {
-        if what == StoreKind::Instances {
+    fn apply_change(&mut self, kind: StoreKind) {
+        if kind == StoreKind::Instances {
             self.instances = Rc::new(self.parse_instances());
             return;
         }
@@ -386,26 +394,27 @@
             "revision" => revision.number, "versions" => self.versions());
     }
 
-    // The platform.
+    // Platform.
 
-    /// The service of which the readers share the reading.
-    fn shared(&self) -> StoreKind {
+    /// The service that only the elected readers read. Its answers show all processes how recent
+    /// their replicas are.
+    fn shared_service(&self) -> StoreKind {
         match self.node.form {
             Form::Changes => StoreKind::Declarations,
             Form::Keys => StoreKind::Instances,
         }
     }
 
-    /// Takes a read in. Returns what changed.
+    /// Handles a completed read. Returns the kind of store if its documents changed.
     pub fn read(&mut self, now: Millis, read: Read) -> Option<StoreKind> {
-        let what = read.what;
-        let ordered = self.source(what).ordered.take().unwrap_or(now);
-        self.note_era(now, read.era);
-        if what == StoreKind::Instances {
-            self.note_outage(now, &read.result);
+        let kind = read.kind;
+        let ordered = self.source(kind).ordered_at.take().unwrap_or(now);
+        self.record_era(now, read.era);
+        if kind == StoreKind::Instances {
+            self.record_outage(now, &read.result);
         }
-        if let Some(e) = &read.doubt {
-            self.report_doubt(what, e);
+        if let Some(e) = &read.rejected_era {
+            self.report_rejected_era(kind, e);
         }
         for field in &read.unread {
             self.unread.note(&self.log, &self.metrics, "platform", field);
@@ -413,58 +422,59 @@
         let batch = match read.result {
             Ok(it) => it,
             Err(e) => {
-                self.failed(now, what, &e);
+                self.handle_failure(now, kind, &e);
                 return None;
             }
         };
         for it in &batch.problems {
-            self.report_problem(what, it);
+            self.report_problem(kind, it);
         }
-        let stale = batch.delta.revision < self.source(what).store.revision();
-        self.judge(what, !stale, "stale");
+        let stale = batch.delta.revision < self.source(kind).store.revision();
+        self.set_health(kind, !stale, "stale");
         if stale {
-            return self.read_stale(now, what, batch.delta);
+            return self.read_stale(now, kind, batch.delta);
         }
-        let pace = self.pace(what);
-        let source = self.source(what);
+        let min_interval = self.min_interval(kind);
+        let source = self.source(kind);
         source.failures = 0;
-        source.next = now.max(ordered + pace);
+        source.next_call = now.max(ordered + min_interval);
         let mut delta = batch.delta;
-        let source = self.source(what);
-        source.whole &= delta.whole.is_none();
+        let source = self.source(kind);
+        source.full_read &= delta.whole.is_none();
         source.store.trim(&mut delta);
-        let changed = self.merge(what, delta);
-        if what == self.shared() {
-            self.fresh = now;
+        let changed = self.merge(kind, delta);
+        if kind == self.shared_service() {
+            self.last_answer = now;
         }
         if changed.is_some() {
-            // More may have changed meanwhile.
+            // There may have been more changes during the call: read again as soon as allowed.
             self.tick(now);
         }
         changed
     }
 
-    /// Takes from a read that is older than what is held the documents that their operator
-    /// gave a later number.
-    fn read_stale(&mut self, now: Millis, what: StoreKind, delta: Delta) -> Option<StoreKind> {
-        let (read, held) = (delta.revision, self.source(what).store.revision());
-        slog::info!(self.log, "stale read"; "what" => ?what, "era" => read.era,
+    /// Handles a read older than the replica. Of a full read of the declarations, documents to
+    /// which their operator gave a later version number are still merged.
+    fn read_stale(&mut self, now: Millis, kind: StoreKind, delta: Delta) -> Option<StoreKind> {
+        let (read, held) = (delta.revision, self.source(kind).store.revision());
+        slog::info!(self.log, "stale platform read"; "what" => ?kind, "era" => read.era,
             "revision" => read.number, "held_era" => held.era, "held" => held.number);
-        let source = self.source(what);
-        source.next = source.retry_at(now);
-        if what == StoreKind::Declarations && delta.whole.is_some() {
-            return self.merge(what, delta);
+        let source = self.source(kind);
+        source.next_call = source.next_retry(now);
+        if kind == StoreKind::Declarations && delta.whole.is_some() {
+            return self.merge(kind, delta);
         }
         self.metrics.ignored(Ignored::OldRevision);
         None
     }
 
-    /// Records whether the service of the instance list answered a call, and in time.
-    fn note_outage(&mut self, now: Millis, result: &Result<Batch, reader::Error>) {
-        let due = now.min(self.list.due);
+    /// Updates the record of outages of the instance list's service after a call. A late answer
+    /// counts as an outage that has ended.
+    fn record_outage(&mut self, now: Millis, result: &Result<Batch, reader::Error>) {
+        let due = now.min(self.list.answer_due);
         match result {
-            Ok(_) | Err(reader::Error::History { .. } | reader::Error::Restored { .. }) => {
-                if now > due + LATE {
+            Ok(_) | Err(reader::Error::HistoryGone { .. } | reader::Error::Restored { .. }) => {
+                if now > due + LATE_ANSWER {
                     self.outages.failed(due);
                 }
                 self.outages.answered(now);
@@ -473,100 +483,104 @@
         }
     }
 
-    /// A line when the service names another era.
-    fn note_era(&mut self, now: Millis, era: Option<u64>) {
+    /// Records the era named by an answer. Logs a change, and records one after the first as a
+    /// restore.
+    fn record_era(&mut self, now: Millis, era: Option<u64>) {
         let Some(named) = era else { return };
-        self.doubted = false;
+        self.era_rejected = false;
         let before = self.era.replace(named);
         if before == era {
             return;
         }
-        slog::info!(self.log, "platform era"; "before" => before, "now" => named);
+        slog::info!(self.log, "platform era changed"; "before" => before, "now" => named);
         self.metrics.era.set(i64::try_from(named).unwrap_or(i64::MAX));
         if before.is_some() {
             self.outages.restored(now);
         }
     }
 
-    fn failed(&mut self, now: Millis, what: StoreKind, e: &reader::Error) {
-        let source = self.source(what);
+    fn handle_failure(&mut self, now: Millis, kind: StoreKind, e: &reader::Error) {
+        let source = self.source(kind);
         match e {
-            reader::Error::History { .. } | reader::Error::Restored { .. } => {
-                // Pages of two eras in turn must not become calls without a pause.
-                let again = std::mem::replace(&mut source.whole, true);
-                source.next = if again { source.retry_at(now) } else { now };
-                slog::info!(self.log, "platform to be read anew"; "what" => ?what, "error" => %e);
+            reader::Error::HistoryGone { .. } | reader::Error::Restored { .. } => {
+                // Pages that alternate between two eras must not cause calls without a delay.
+                let again = std::mem::replace(&mut source.full_read, true);
+                source.next_call = if again { source.next_retry(now) } else { now };
+                slog::info!(self.log, "full read of the platform required"; "what" => ?kind, "error" => %e);
                 return;
             }
-            reader::Error::Earlier { .. } => self.metrics.ignored(Ignored::OldRevision),
+            reader::Error::OldEra { .. } => self.metrics.ignored(Ignored::OldRevision),
             _ => {}
         }
-        let source = self.source(what);
-        source.next = source.retry_at(now);
-        slog::debug!(self.log, "read failed"; "what" => ?what, "error" => %e);
-        self.judge(what, false, &e.to_string());
+        let source = self.source(kind);
+        source.next_call = source.next_retry(now);
+        slog::debug!(self.log, "platform read failed"; "what" => ?kind, "error" => %e);
+        self.set_health(kind, false, &e.to_string());
     }
 
-    /// Least time between two calls.
-    fn pace(&self, what: StoreKind) -> Millis {
-        match (self.node.form, what) {
-            (_, StoreKind::Declarations) => WATCH_PACE,
+    /// Minimum time between two calls to a service.
+    fn min_interval(&self, kind: StoreKind) -> Millis {
+        match (self.node.form, kind) {
+            (_, StoreKind::Declarations) => MIN_WATCH_INTERVAL,
             (_, StoreKind::Instances) => self.node.list_every,
         }
     }
 
-    /// Records whether a service is good; a line only when that changes.
-    fn judge(&mut self, what: StoreKind, good: bool, why: &str) {
-        let before = std::mem::replace(&mut self.source(what).good, good);
-        match (before, good) {
-            (false, true) => slog::info!(self.log, "platform regained"; "what" => ?what),
-            (true, false) => slog::warn!(self.log, "platform lost"; "what" => ?what, "why" => why),
+    /// Records whether a service is healthy and logs transitions only.
+    fn set_health(&mut self, kind: StoreKind, healthy: bool, why: &str) {
+        let before = std::mem::replace(&mut self.source(kind).healthy, healthy);
+        match (before, healthy) {
+            (false, true) => {
+                slog::info!(self.log, "platform service available again"; "what" => ?kind)
+            }
+            (true, false) => {
+                slog::warn!(self.log, "platform service unavailable"; "what" => ?kind, "why" => why)
+            }
             _ => {}
         }
     }
 
     /// Orders the reads that are due.
     pub fn tick(&mut self, now: Millis) {
-        let limit = self.node.watch + WATCH_GRACE;
-        let shared = self.shared();
-        let source = self.source(shared);
-        let waiting = source.ordered.is_some_and(|at| now < at + limit);
-        if waiting && source.good && shared == StoreKind::Declarations {
-            self.fresh = now;
+        let max_watch = self.node.watch + WATCH_GRACE;
+        let shared_service = self.shared_service();
+        let source = self.source(shared_service);
+        let watching = source.ordered_at.is_some_and(|at| now < at + max_watch);
+        if watching && source.healthy && shared_service == StoreKind::Declarations {
+            self.last_answer = now;
         }
-        for what in [StoreKind::Declarations, StoreKind::Instances] {
-            let source = self.source(what);
-            let due = source.ordered.is_none() && now >= source.next;
-            if due && self.on_duty(now, what) {
-                let wait = self.wait(now, what);
-                self.source(what).order(now, wait);
+        for kind in [StoreKind::Declarations, StoreKind::Instances] {
+            let source = self.source(kind);
+            let due = source.ordered_at.is_none() && now >= source.next_call;
+            if due && self.should_read(now, kind) {
+                let wait = self.wait(now, kind);
+                self.source(kind).order(now, wait);
             }
         }
     }
 
-    /// How long a call may wait for a change. Until a first one succeeded it
-    /// does not wait: an empty service would hold it. The list of the own
-    /// form is not watched. Whoever hears of changes from the readers watches
-    /// for longer, in case that it does not.
-    fn wait(&mut self, now: Millis, what: StoreKind) -> Duration {
-        let watched = self.node.form == Form::Keys || what == StoreKind::Declarations;
+    /// Maximum time for which the service may hold a call until something changes. Zero until a
+    /// first call succeeds, because an empty service would hold the call; also zero for the
+    /// instance list in [`Form::Changes`], which is not watched. A process that receives changes
+    /// from the readers watches only as a fallback, with the separate time `watch_rest`.
+    fn wait(&mut self, now: Millis, kind: StoreKind) -> Duration {
+        let is_watched = self.node.form == Form::Keys || kind == StoreKind::Declarations;
         let watch = if self.ranks_as_reader(now) { self.node.watch } else { self.node.watch_rest };
-        let wait = if watched && self.source(what).good { watch } else { 0 };
+        let wait = if is_watched && self.source(kind).healthy { watch } else { 0 };
         Duration::from_millis(wait)
     }
 
-    /// Whether this process holds a copy of what a service has. Agents beside
-    /// listed targets need next to nothing of a configuration that may be large
-    /// and change often; entries tell them that.
-    fn is_held(&self, what: StoreKind) -> bool {
+    /// Whether this process replicates a store. Agents beside listed targets need little of the
+    /// declarations, which may be large and change often; entries send them that part.
+    fn is_held(&self, kind: StoreKind) -> bool {
         !matches!(
-            (self.node.form, self.role, what),
+            (self.node.form, self.role, kind),
             (Form::Keys, Role::Agent, StoreKind::Declarations)
         )
     }
 
-    fn on_duty(&self, now: Millis, what: StoreKind) -> bool {
-        match (self.node.form, self.role, what) {
+    fn should_read(&self, now: Millis, kind: StoreKind) -> bool {
+        match (self.node.form, self.role, kind) {
             (Form::Changes, _, StoreKind::Declarations) => self.ranks_as_reader(now),
             (Form::Changes, _, StoreKind::Instances) => {
                 self.instances.is_empty() || self.ranks_as_reader(now)
@@ -575,18 +589,18 @@
             (Form::Keys, Role::Entry, StoreKind::Instances) => {
                 self.instances.is_empty() || self.ranks_as_reader(now)
             }
-            // Agents are many; what they need they get from entries.
+            // Agents are too numerous to read the platform; entries send them what they need.
             (Form::Keys, Role::Agent | Role::Target, _) => false,
         }
     }
 
     fn ranks_as_reader(&self, now: Millis) -> bool {
-        let me = self.node.name.as_str();
+        let name = self.node.name.as_str();
         let patience = self.node.patience;
         let options = duty::Options { patience, ..duty::Options::default() };
         let hall = match self.node.form {
             Form::Changes => self.node.hall.as_str(),
-            // A few of all entries together.
+            // Readers are chosen among the entries of all halls together.
             Form::Keys => "",
         };
         let mut names: Vec<&str> = match self.node.form {
@@ -596,12 +610,12 @@
             }
             Form::Keys => {
                 let others = self.entries.iter().map(String::as_str);
-                others.chain(std::iter::once(me)).collect()
+                others.chain(std::iter::once(name)).collect()
             }
         };
         if names.is_empty() {
-            names.push(me);
+            names.push(name);
         }
-        duty::is_reader(options, me, hall, &names, self.age(now))
+        duty::is_reader(options, name, hall, &names, self.age(now))
     }
 }
--- a/crates/sablepass-edge/src/spread/removals.rs
+++ b/crates/sablepass-edge/src/spread/removals.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What entries tell each other of instances that left, so that none of them takes one back
-//! from a copy of the service.
+//! Exchange of removed instances between entries, so that no entry lists such an instance again
+//! after the platform's service was restored from a backup.
 
 use std::collections::BTreeMap;
 
@@ -15,41 +15,42 @@
 use crate::spread::Spread;
 
 impl Spread {
-    /// Takes what a peer tells of removals. Returns what changed.
-    pub fn take_removals(&mut self, told: &[Removal<'_>]) -> Option<StoreKind> {
+    /// Merges removals received from a peer. Returns the kind of store if the instance list
+    /// changed.
+    pub fn merge_removals(&mut self, received: &[Removal<'_>]) -> Option<StoreKind> {
         let mut changed = false;
-        for &(key, at) in told {
-            let taken = self.list.store.take_removal(key, at);
-            if taken == RemovalOutcome::Known {
+        for &(key, at) in received {
+            let outcome = self.list.store.take_removal(key, at);
+            if outcome == RemovalOutcome::Known {
                 continue;
             }
-            self.untold.insert(key.to_owned(), at);
-            if taken == RemovalOutcome::Listed {
-                slog::warn!(self.log, "instance listed that left before"; "key" => key,
+            self.unsent_removals.insert(key.to_owned(), at);
+            if outcome == RemovalOutcome::Listed {
+                slog::warn!(self.log, "removed instance was listed again"; "key" => key,
                     "era" => at.era, "revision" => at.number);
                 self.metrics.ignored(Ignored::FormerLine);
                 changed = true;
             }
         }
         changed.then(|| {
-            self.note(StoreKind::Instances);
+            self.apply_change(StoreKind::Instances);
             StoreKind::Instances
         })
     }
 
-    /// The removals that are remembered, for a peer that may not know them.
+    /// All remembered removals, for a peer that may not know them.
     pub fn removals(&self) -> Vec<Removal<'_>> {
         self.list.store.removals().collect()
     }
 
-    /// The removals that other entries have to be told of: those that were told here as news,
-    /// and all once the list is of a later era.
-    pub fn take_untold(&mut self) -> BTreeMap<String, Revision> {
+    /// Returns and clears the removals to send to other entries: those learned since the last call,
+    /// and all of them once the list's era has changed.
+    pub fn take_unsent_removals(&mut self) -> BTreeMap<String, Revision> {
         let era = self.list.store.revision().era;
-        if std::mem::replace(&mut self.told_in, era) != era {
+        if std::mem::replace(&mut self.removals_sent_era, era) != era {
             let all = self.list.store.removals().map(|(key, at)| (key.to_owned(), at));
-            self.untold.extend(all);
+            self.unsent_removals.extend(all);
         }
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.unsent_removals)
     }
 }
--- a/crates/sablepass-edge/src/spread/report.rs
+++ b/crates/sablepass-edge/src/spread/report.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Lines and counts for what the platform says and cannot be taken: one for each change of an
+//! Logs and counts items and eras of the platform that are rejected: once for each change of an
 //! item, not for each read.
 
 use sablepass_core::config::StoreKind;
@@ -9,20 +9,22 @@
 use sablepass_core::revision::Revision;
 
 use crate::reader::Problem;
-use crate::spread::{MOST_BAD, Spread};
+use crate::spread::{MAX_REJECTED_ITEMS, Spread};
 
 impl Spread {
-    /// A line and a count for documents whose operator's number is too low, and for lines of
-    /// instances that left.
-    pub(super) fn report_rejected(&mut self, what: StoreKind) {
-        let (text, reason) = match what {
-            StoreKind::Declarations => ("older version not taken", Ignored::OlderVersion),
+    /// Logs and counts documents whose version number is too low, and list lines of instances that
+    /// have left.
+    pub(super) fn report_rejected(&mut self, kind: StoreKind) {
+        let (text, reason) = match kind {
+            StoreKind::Declarations => {
+                ("rejected a document with an older version", Ignored::OlderVersion)
+            }
             StoreKind::Instances => {
-                ("line of an instance that left not taken", Ignored::FormerLine)
+                ("rejected a list line of an instance that has left", Ignored::FormerLine)
             }
         };
-        for it in self.source(what).store.take_rejected() {
-            if self.is_reported(what, &it.key, it.revision) {
+        for it in self.source(kind).store.take_rejected() {
+            if self.mark_reported(kind, &it.key, it.revision) {
                 continue;
             }
             slog::warn!(self.log, "{}", text; "key" => &it.key, "version" => it.version,
@@ -31,32 +33,33 @@
         }
     }
 
-    /// A count for each answer whose era is not believed, and a line for the first in a row.
-    pub(super) fn report_doubt(&mut self, what: StoreKind, e: &sablepass_platform::Error) {
+    /// Counts each answer with an implausible era, and logs the first one in a row.
+    pub(super) fn report_rejected_era(&mut self, kind: StoreKind, e: &sablepass_platform::Error) {
         self.metrics.bad_items.with_label_values(&[e.label()]).inc();
-        if std::mem::replace(&mut self.doubted, true) {
+        if std::mem::replace(&mut self.era_rejected, true) {
             return;
         }
-        slog::warn!(self.log, "era not believed"; "what" => ?what, "error" => %e);
+        slog::warn!(self.log, "rejected an implausible platform era"; "what" => ?kind, "error" => %e);
     }
 
-    /// Whether a version that cannot be taken is known as such.
-    fn is_reported(&mut self, what: StoreKind, key: &str, revision: Revision) -> bool {
-        let bad = &mut self.source(what).bad;
-        if bad.len() >= MOST_BAD && !bad.contains_key(key) {
-            bad.clear();
+    /// Marks a rejected revision of an item as reported. Returns whether it was already.
+    fn mark_reported(&mut self, kind: StoreKind, key: &str, revision: Revision) -> bool {
+        let rejected = &mut self.source(kind).rejected;
+        if rejected.len() >= MAX_REJECTED_ITEMS && !rejected.contains_key(key) {
+            rejected.clear();
         }
-        bad.insert(key.to_owned(), revision) == Some(revision)
+        rejected.insert(key.to_owned(), revision) == Some(revision)
     }
 
-    /// A line and a count for each change that cannot be taken, not for each read.
-    pub(super) fn report_problem(&mut self, what: StoreKind, it: &Problem) {
-        if self.is_reported(what, &it.key, it.revision) {
+    /// Logs and counts an item that cannot be used, once for each change and not for each read.
+    pub(super) fn report_problem(&mut self, kind: StoreKind, problem: &Problem) {
+        if self.mark_reported(kind, &problem.key, problem.revision) {
             return;
         }
-        slog::warn!(self.log, "item not taken"; "what" => ?what, "key" => &it.key,
-            "era" => it.revision.era, "revision" => it.revision.number, "reason" => it.error.label(), "error" => %it.error);
+        slog::warn!(self.log, "item not taken"; "what" => ?kind, "key" => &problem.key,
+            "era" => problem.revision.era, "revision" => problem.revision.number,
+            "reason" => problem.error.label(), "error" => %problem.error);
         self.metrics.ignored(Ignored::BadDocument);
-        self.metrics.bad_items.with_label_values(&[it.error.label()]).inc();
+        self.metrics.bad_items.with_label_values(&[problem.error.label()]).inc();
     }
 }
