--- a/crates/sablepass-edge/src/connection.rs
+++ b/crates/sablepass-edge/src/connection.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! One connection of a caller to a [`crate::server`], as an actor that owns
-//! its socket: requests in, answers out, one after the other.
+//! One connection of a caller to a [`crate::server`]. The actor owns the socket, reads requests and
+//! writes answers, one exchange at a time.
 
 use std::time::{Duration, Instant};
 
@@ -15,46 +15,48 @@
 
 use crate::server::{Event, ExchangeKey, Framing, Incoming, Limits, Part, Problem, Reply};
 
-/// Bytes read at once. Buffers of a connection that rests keep about twice that.
+/// Size of one read. The buffers of an idle connection keep about twice this size.
 const READ_SIZE: usize = 4 * 1024;
-/// Bytes that a caller may send ahead of its turn before it is not read any more.
-const AHEAD: usize = 64 * 1024;
-/// Bytes that may wait to be written before the owner is told to pause.
-const FULL: usize = 64 * 1024;
-/// Bytes that may still wait when the owner is told to go on.
-const LOW: usize = 8 * 1024;
-/// A caller that reads nothing for this long while bytes wait for it is gone.
-const STUCK: Duration = Duration::from_secs(4);
-/// Time given to a caller to read the last answer before its connection is closed.
+/// Size of the input after the current request from which the connection is no longer read until
+/// the answer is complete.
+const MAX_READ_AHEAD: usize = 64 * 1024;
+/// Size of the output buffer above which the owner is asked to pause.
+const WRITE_HIGH_WATER: usize = 64 * 1024;
+/// Size of the output buffer below which the owner may continue.
+const WRITE_LOW_WATER: usize = 8 * 1024;
+/// Time without progress in writing after which the caller counts as disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time for a caller to read the last answer before its connection is closed.
 const LINGER: Duration = Duration::from_secs(1);
-/// Most bytes by which the protocol makes a part of an answer longer, a chunk.
-const CHUNK_EXTRA: usize = 16;
-/// Bytes of a chunk, as the protocol cuts them.
-const CHUNK: usize = 10 * 1024;
-/// Bytes of a status line and of what separates a header field.
-const LINE: usize = 64;
+/// Maximum number of bytes that the chunked encoding adds to each chunk.
+const CHUNK_OVERHEAD: usize = 16;
+/// Maximum size of a chunk written by `ureq-proto`.
+const CHUNK_SIZE: usize = 10 * 1024;
+/// Allowance in bytes for a status line, and for other parts of a head.
+const LINE_OVERHEAD: usize = 64;
 /// Priority of socket events in the poll.
 const PRIORITY: u32 = 10;
-/// A request without a body, to answer one that could not be read.
+/// A valid request without a body. It brings the protocol into the state in which a request that
+/// could not be parsed can be answered.
 const PLACEHOLDER: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
-/// A body that ends at once, for a request that announces none.
+/// An empty chunked body, for a request that announces no body.
 const NO_BODY: &[u8] = b"0\r\n\r\n";
 
-/// What the connection is doing.
+/// State of the exchange.
 enum Phase {
-    /// Between two requests, or within a head.
+    /// Idle between two requests, or reading a head.
     Head(Box<proto::Reply<state::RecvRequest>>),
-    /// Within a body.
+    /// Reading a body.
     Body(Box<Receiving>),
-    /// The request is with the owner.
+    /// The owner has the request; the answer has not started.
     Waiting(Box<proto::Reply<state::ProvideResponse>>),
-    /// The answer is gathered until it is whole.
+    /// Buffering an answer until it is complete.
     Gathering(Box<Gathering>),
-    /// The answer is written part by part.
+    /// Writing an answer part by part.
     Sending(Box<proto::Reply<state::SendBody>>),
-    /// The last answer is written; the caller may still read it.
+    /// The last answer is in the output buffer or written; the caller may still read it.
     Lingering,
-    /// Over.
+    /// Closed.
     Closed,
 }
 
@@ -70,31 +72,31 @@
     body: Vec<u8>,
 }
 
-/// Whether the connection goes on.
-type Step = Result<(), Stop>;
+/// Result of a step on the connection. An error closes the connection.
+type Step = Result<(), StopCause>;
 
-/// Why it does not.
+/// Reason for closing the connection.
 #[derive(Debug)]
-enum Stop {
-    /// The caller closed it or cannot be written to.
-    Gone,
-    /// The protocol does not allow what was to be written.
+enum StopCause {
+    /// The caller closed the connection, or cannot be written to.
+    Disconnected,
+    /// The protocol does not allow the attempted write.
     Protocol,
 }
 
-impl From<std::io::Error> for Stop {
+impl From<std::io::Error> for StopCause {
     fn from(_: std::io::Error) -> Self {
-        Self::Gone
+        Self::Disconnected
     }
 }
 
-impl From<ureq_proto::Error> for Stop {
+impl From<ureq_proto::Error> for StopCause {
     fn from(_: ureq_proto::Error) -> Self {
         Self::Protocol
     }
 }
 
-/// The actor.
+/// Actor that owns the connection.
 pub struct Connection {
     tcp: TcpStreamBuf,
     key: ExchangeKey,
@@ -102,31 +104,31 @@
     limits: Limits,
     owner: Fwd<Event>,
     replies: Fwd<(ExchangeKey, Part)>,
-    /// The next answer is the last one.
-    last: bool,
-    /// The caller sends no more.
+    /// The connection closes after the next answer.
+    close_after_reply: bool,
+    /// The caller has closed its sending side.
     input_closed: bool,
-    /// Since when nothing could be written although bytes wait.
-    full: Option<Instant>,
-    /// When what is under way must have come on.
-    due: Option<Instant>,
+    /// Time of the last progress in writing since the output buffer exceeded [`WRITE_HIGH_WATER`].
+    blocked_since: Option<Instant>,
+    /// Time by which the current phase must make progress.
+    deadline: Option<Instant>,
 }
 
 impl Connection {
-    /// Takes a socket.
+    /// Takes over an accepted socket.
     pub fn init(
         cx: CX![],
         key: u64,
         stream: TcpStream,
         limits: Limits,
-        last: bool,
+        close_after_reply: bool,
         owner: Fwd<Event>,
     ) -> Option<Self> {
         let poll = cx.anymap_get::<MioPoll>();
         let interest = Interest::READABLE | Interest::WRITABLE;
         let ready = fwd_to!([cx], ready() as (Ready));
         let Ok(source) = poll.add(stream, interest, PRIORITY, ready) else {
-            // The caller finds its connection closed before it was read.
+            // The caller sees a closed connection of which nothing was read.
             stop!(cx);
             return None;
         };
@@ -140,10 +142,10 @@
             limits,
             owner,
             replies: fwd_to!([cx], |this, cx, it: (ExchangeKey, Part)| this.part(cx, it.0, it.1)),
-            last,
+            close_after_reply,
             input_closed: false,
-            full: None,
-            due: Some(Instant::now() + limits.idle_time),
+            blocked_since: None,
+            deadline: Some(Instant::now() + limits.idle_time),
         })
     }
 
@@ -151,16 +153,16 @@
     pub fn limit(&mut self, _cx: CX![], limits: Limits) {
         self.limits = limits;
         if matches!(self.phase, Phase::Head(_)) {
-            self.due = Some(Instant::now() + limits.idle_time);
+            self.deadline = Some(Instant::now() + limits.idle_time);
         }
     }
 
-    /// Makes the next answer the last one.
+    /// Closes the connection after the next answer.
     pub fn drain(&mut self, _cx: CX![]) {
-        self.last = true;
+        self.close_after_reply = true;
     }
 
-    /// Closes the connection if nothing is under way.
+    /// Closes the connection if no exchange is in progress.
     pub fn close_idle(&mut self, cx: CX![]) {
         let idle = matches!(self.phase, Phase::Head(_)) && self.tcp.rd == self.tcp.wr;
         if idle || matches!(self.phase, Phase::Lingering) {
@@ -168,21 +170,22 @@
         }
     }
 
-    /// Closes the connection if it rests or stands still for too long.
+    /// Closes the connection if it has been idle or blocked for too long, and refuses a request
+    /// that has not arrived in time.
     pub fn sweep(&mut self, cx: CX![], now: Instant) {
-        if self.full.is_some_and(|it| now >= it + STUCK) {
-            self.settle(cx, Err(Stop::Gone));
+        if self.blocked_since.is_some_and(|it| now >= it + WRITE_TIMEOUT) {
+            self.close_on_error(cx, Err(StopCause::Disconnected));
             return;
         }
-        if self.due.is_none_or(|it| now < it) {
+        if self.deadline.is_none_or(|it| now < it) {
             return;
         }
-        let begun = self.tcp.rd != self.tcp.wr;
+        let has_input = self.tcp.rd != self.tcp.wr;
         match self.phase {
-            Phase::Head(_) if !begun => self.close(cx),
+            Phase::Head(_) if !has_input => self.close(cx),
             Phase::Head(_) | Phase::Body(_) => self.refuse(Problem::Slow),
             Phase::Lingering => self.close(cx),
-            _ => self.due = None,
+            _ => self.deadline = None,
         }
     }
 
@@ -191,25 +194,25 @@
         if ready.is_writable() {
             let flushed = self.flush();
             if flushed.is_err() {
-                self.settle(cx, flushed);
+                self.close_on_error(cx, flushed);
                 return;
             }
         }
         if ready.is_readable() || self.input_closed {
             let step = self.read();
-            self.settle(cx, step);
+            self.close_on_error(cx, step);
         }
     }
 
-    /// Ends the connection if a step says so.
-    fn settle(&mut self, cx: CX![], step: Step) {
+    /// Closes the connection if a step failed, and reports an unfinished exchange to the owner.
+    fn close_on_error(&mut self, cx: CX![], step: Step) {
         if step.is_ok() {
             return;
         }
-        let open =
+        let unfinished =
             matches!(self.phase, Phase::Waiting(_) | Phase::Gathering(_) | Phase::Sending(_));
-        // An answer may be whole here and not yet with its caller.
-        if open || !self.tcp.out.is_empty() {
+        // An answer may be complete here without having reached its caller.
+        if unfinished || !self.tcp.out.is_empty() {
             self.owner.fwd(Event::Gone(self.key));
         }
         self.close(cx);
@@ -224,35 +227,37 @@
     // Requests.
 
     fn read(&mut self) -> Step {
-        while self.wants_input() {
+        while self.accepts_input() {
             let before = self.tcp.wr - self.tcp.rd;
             match self.tcp.read(READ_SIZE) {
                 ReadStatus::NewData => {}
                 ReadStatus::WouldBlock => return Ok(()),
-                ReadStatus::EndOfStream | ReadStatus::Error(_) => return Err(Stop::Gone),
+                ReadStatus::EndOfStream | ReadStatus::Error(_) => {
+                    return Err(StopCause::Disconnected);
+                }
             }
-            let taken = self.tcp.wr - self.tcp.rd - before;
+            let received = self.tcp.wr - self.tcp.rd - before;
             self.advance()?;
-            if taken < READ_SIZE && !self.input_closed {
-                // The socket is empty; more makes it ready again.
+            if received < READ_SIZE && !self.input_closed {
+                // The socket is drained; further data makes it readable again.
                 return Ok(());
             }
         }
-        // A caller that closed its side wants no answer any more.
-        if self.input_closed { Err(Stop::Gone) } else { Ok(()) }
+        // A caller that has closed its side expects no answer.
+        if self.input_closed { Err(StopCause::Disconnected) } else { Ok(()) }
     }
 
-    fn wants_input(&self) -> bool {
+    fn accepts_input(&self) -> bool {
         match self.phase {
             Phase::Head(_) | Phase::Body(_) | Phase::Lingering => true,
             Phase::Waiting(_) | Phase::Gathering(_) | Phase::Sending(_) => {
-                self.tcp.wr - self.tcp.rd < AHEAD
+                self.tcp.wr - self.tcp.rd < MAX_READ_AHEAD
             }
             Phase::Closed => false,
         }
     }
 
-    /// Takes what was read as far as it goes.
+    /// Processes the input buffer as far as the current phase allows.
     fn advance(&mut self) -> Step {
         if matches!(self.phase, Phase::Lingering) {
             self.tcp.rd = self.tcp.wr;
@@ -284,15 +289,15 @@
             return Ok(());
         }
         let Some(request) = request else {
-            let late = Instant::now() + self.limits.head_time;
-            self.due = Some(self.due.map_or(late, |it| it.min(late)));
+            let head_deadline = Instant::now() + self.limits.head_time;
+            self.deadline = Some(self.deadline.map_or(head_deadline, |it| it.min(head_deadline)));
             return Ok(());
         };
         self.tcp.rd += used;
-        self.begin(request)
+        self.begin_request(request)
     }
 
-    fn begin(&mut self, request: http::Request<()>) -> Step {
+    fn begin_request(&mut self, request: http::Request<()>) -> Step {
         let Phase::Head(proto) = std::mem::replace(&mut self.phase, Phase::Closed) else {
             return Ok(());
         };
@@ -304,21 +309,21 @@
             Some(RecvRequestResult::RecvBody(it)) => it,
             Some(RecvRequestResult::Send100(it)) => {
                 let start = self.tcp.out.len();
-                self.tcp.out.resize(start + LINE, 0);
+                self.tcp.out.resize(start + LINE_OVERHEAD, 0);
                 let (used, it) = it.accept(&mut self.tcp.out[start..])?;
                 self.tcp.out.truncate(start + used);
                 self.flush()?;
                 it
             }
-            None => return Err(Stop::Protocol),
+            None => return Err(StopCause::Protocol),
         };
         let fields = request.headers();
         let announced = fields.contains_key(header::CONTENT_LENGTH)
             || fields.contains_key(header::TRANSFER_ENCODING);
         if !announced {
-            proto.read(NO_BODY, &mut [0; LINE])?;
+            proto.read(NO_BODY, &mut [0; LINE_OVERHEAD])?;
         }
-        self.due = Some(Instant::now() + self.limits.head_time);
+        self.deadline = Some(Instant::now() + self.limits.head_time);
         self.phase = Phase::Body(Box::new(Receiving { proto, request, body: Vec::new() }));
         Ok(())
     }
@@ -329,11 +334,11 @@
             let input = &self.tcp.inp[self.tcp.rd..self.tcp.wr];
             let start = it.body.len();
             it.body.resize(start + input.len(), 0);
-            let Ok((used, gained)) = it.proto.read(input, &mut it.body[start..]) else {
+            let Ok((used, decoded)) = it.proto.read(input, &mut it.body[start..]) else {
                 self.refuse(Problem::Malformed);
                 return Ok(());
             };
-            it.body.truncate(start + gained);
+            it.body.truncate(start + decoded);
             self.tcp.rd += used;
             if it.body.len() > self.limits.body {
                 self.refuse(Problem::BodyTooLarge);
@@ -358,38 +363,38 @@
         proto: proto::Reply<state::ProvideResponse>,
     ) {
         self.phase = Phase::Waiting(Box::new(proto));
-        self.hand_over(Ok(request), body);
+        self.forward_request(Ok(request), body);
     }
 
-    fn hand_over(&mut self, head: Result<http::Request<()>, Problem>, body: Vec<u8>) {
-        self.due = None;
+    fn forward_request(&mut self, head: Result<http::Request<()>, Problem>, body: Vec<u8>) {
+        self.deadline = None;
         self.key.number += 1;
         let reply = Reply::open(self.replies.clone(), self.key);
         let it = Incoming { key: self.key, head, body, reply };
         self.owner.fwd(Event::Request(Box::new(it)));
     }
 
-    /// Has the owner answer a request that could not be read. What follows on
-    /// the connection cannot be told apart from it, so the answer is the last.
+    /// Passes a request that could not be read to the owner for an error answer. The end of this
+    /// request is unknown, so the connection closes after the answer.
     fn refuse(&mut self, problem: Problem) {
-        self.last = true;
+        self.close_after_reply = true;
         self.tcp.rd = self.tcp.wr;
         self.phase = match placeholder() {
             Some(it) => Phase::Waiting(Box::new(it)),
             None => Phase::Closed,
         };
-        self.hand_over(Err(problem), Vec::new());
+        self.forward_request(Err(problem), Vec::new());
     }
 
     // Answers.
 
     fn part(&mut self, cx: CX![], key: ExchangeKey, part: Part) {
         if key != self.key {
-            // The answer of an exchange that is over.
+            // Part of an answer to an exchange that has ended.
             return;
         }
         let step = self.write(part);
-        self.settle(cx, step);
+        self.close_on_error(cx, step);
     }
 
     fn write(&mut self, part: Part) -> Step {
@@ -397,14 +402,14 @@
             Part::Head(head, Framing::Chunked) => {
                 let Phase::Waiting(proto) = std::mem::replace(&mut self.phase, Phase::Closed)
                 else {
-                    return Err(Stop::Protocol);
+                    return Err(StopCause::Protocol);
                 };
                 self.write_head(*proto, *head)?;
             }
             Part::Head(head, Framing::Whole) => {
                 let Phase::Waiting(proto) = std::mem::replace(&mut self.phase, Phase::Closed)
                 else {
-                    return Err(Stop::Protocol);
+                    return Err(StopCause::Protocol);
                 };
                 let it = Gathering { proto: *proto, head: *head, body: Vec::new() };
                 self.phase = Phase::Gathering(Box::new(it));
@@ -420,10 +425,10 @@
         self.flush()
     }
 
-    /// Closes at once; the owner knows.
+    /// Closes the connection without an event, since the owner asked for it.
     fn abort(&mut self) -> Step {
         self.phase = Phase::Closed;
-        Err(Stop::Protocol)
+        Err(StopCause::Protocol)
     }
 
     fn write_head(
@@ -431,7 +436,7 @@
         proto: proto::Reply<state::ProvideResponse>,
         mut head: http::Response<()>,
     ) -> Step {
-        if self.last {
+        if self.close_after_reply {
             head.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         let fields = head.headers().iter();
@@ -439,7 +444,7 @@
             fields.map(|(name, value)| name.as_str().len() + value.len() + 4).sum::<usize>();
         let mut proto = proto.provide(head)?;
         let start = self.tcp.out.len();
-        self.tcp.out.resize(start + size + 4 * LINE, 0);
+        self.tcp.out.resize(start + size + 4 * LINE_OVERHEAD, 0);
         let mut end = start;
         while !proto.is_finished() {
             end += proto.write(&mut self.tcp.out[end..])?;
@@ -454,15 +459,15 @@
 
     fn write_body(&mut self, mut bytes: &[u8]) -> Step {
         let Phase::Sending(proto) = &mut self.phase else {
-            // An answer to HEAD, or one whose status takes no body.
+            // Answers to HEAD requests and answers with some statuses have no body.
             return Ok(());
         };
         while !bytes.is_empty() {
             let start = self.tcp.out.len();
-            let room = bytes.len() + (bytes.len() / CHUNK + 1) * CHUNK_EXTRA;
-            self.tcp.out.resize(start + room, 0);
-            let (used, gained) = proto.write(bytes, &mut self.tcp.out[start..])?;
-            self.tcp.out.truncate(start + gained);
+            let max_size = bytes.len() + (bytes.len() / CHUNK_SIZE + 1) * CHUNK_OVERHEAD;
+            self.tcp.out.resize(start + max_size, 0);
+            let (used, written) = proto.write(bytes, &mut self.tcp.out[start..])?;
+            self.tcp.out.truncate(start + written);
             bytes = &bytes[used..];
         }
         Ok(())
@@ -475,17 +480,17 @@
         match std::mem::replace(&mut self.phase, Phase::Closed) {
             Phase::Sending(mut proto) => {
                 let start = self.tcp.out.len();
-                self.tcp.out.resize(start + CHUNK_EXTRA, 0);
-                let (_, gained) = proto.write(&[], &mut self.tcp.out[start..])?;
-                self.tcp.out.truncate(start + gained);
+                self.tcp.out.resize(start + CHUNK_OVERHEAD, 0);
+                let (_, written) = proto.write(&[], &mut self.tcp.out[start..])?;
+                self.tcp.out.truncate(start + written);
                 if !proto.is_finished() {
-                    return Err(Stop::Protocol);
+                    return Err(StopCause::Protocol);
                 }
                 let must_close = proto.proceed().must_close_connection();
                 self.finish(must_close)
             }
             other => {
-                // Answers without a body ended with their head.
+                // An answer without a body ended with its head.
                 self.phase = other;
                 Ok(())
             }
@@ -508,34 +513,35 @@
         self.write_body(&body)
     }
 
-    /// The answer is written: on to the next request, or to the end.
+    /// Ends an exchange whose answer is written. Continues with the next request, or lets the
+    /// connection close.
     fn finish(&mut self, must_close: bool) -> Step {
-        if must_close || self.last {
+        if must_close || self.close_after_reply {
             self.tcp.out_eof = true;
-            self.due = Some(Instant::now() + LINGER);
+            self.deadline = Some(Instant::now() + LINGER);
             self.phase = Phase::Lingering;
             return Ok(());
         }
-        self.due = Some(Instant::now() + self.limits.idle_time);
+        self.deadline = Some(Instant::now() + self.limits.idle_time);
         self.phase = idle();
-        // A caller may have sent its next request already.
-        let ahead = self.tcp.wr - self.tcp.rd >= AHEAD;
+        // The caller may have sent its next request already.
+        let read_ahead_full = self.tcp.wr - self.tcp.rd >= MAX_READ_AHEAD;
         self.advance()?;
-        if ahead { self.read() } else { Ok(()) }
+        if read_ahead_full { self.read() } else { Ok(()) }
     }
 
     fn flush(&mut self) -> Step {
         let before = self.tcp.out.len();
         self.tcp.flush()?;
         let left = self.tcp.out.len();
-        if left > FULL && self.full.is_none() {
-            self.full = Some(Instant::now());
+        if left > WRITE_HIGH_WATER && self.blocked_since.is_none() {
+            self.blocked_since = Some(Instant::now());
             self.owner.fwd(Event::Full(self.key));
-        } else if self.full.is_some() && left < LOW {
-            self.full = None;
+        } else if self.blocked_since.is_some() && left < WRITE_LOW_WATER {
+            self.blocked_since = None;
             self.owner.fwd(Event::Drained(self.key));
-        } else if self.full.is_some() && left < before {
-            self.full = Some(Instant::now());
+        } else if self.blocked_since.is_some() && left < before {
+            self.blocked_since = Some(Instant::now());
         }
         Ok(())
     }
--- a/crates/sablepass-edge/src/server.rs
+++ b/crates/sablepass-edge/src/server.rs
@@ -1,13 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! HTTP/1.1 server on the event loop.
+//! HTTP/1.1 server on the event loop, with the protocol implementation of `ureq-proto`.
 //!
-//! [`Server`] accepts; each connection is an actor of its own. A request goes
-//! to the owner when its body is there; the answer comes back part by part
-//! and each part is written as it comes. The protocol is `ureq-proto`'s. Both
-//! directions are bounded: a caller that sends ahead is not read, and the
-//! owner is told when a caller does not read.
+//! [`Server`] accepts connections; each connection is an actor. A request is forwarded to the owner
+//! when its body is complete. The owner sends the answer in parts, which are written as they
+//! arrive. Buffers are bounded in both directions: the input of a caller that sends ahead is not
+//! read, and the owner is notified when a caller does not read.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,100 +20,102 @@
 
 use crate::connection::Connection;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 4096;
-/// Bytes of an answer that the kernel holds for a caller that reads slowly. Set,
-/// since it otherwise grows to megabytes a connection.
-const SEND_BUFFER: usize = 256 * 1024;
+/// Size of the kernel's send buffer per connection. Without a limit it grows to megabytes for a
+/// caller that reads slowly.
+const SEND_BUFFER_BYTES: usize = 256 * 1024;
 /// Priority of socket events in the poll.
 const PRIORITY: u32 = 10;
-/// Time between two looks at connections that rest or do not move.
-const SWEEP: Duration = Duration::from_millis(250);
+/// Interval between two checks for idle and blocked connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a server could not be opened.
+/// Error of opening a server.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address cannot be listened on.
+    /// The listening socket could not be opened.
     #[snafu(display("listen on {addr}: {source}"))]
     Listen {
-        /// The address.
+        /// The listening address.
         addr: SocketAddr,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
 }
 
-/// One exchange of a request and its answer.
+/// Identifies one exchange of a request and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExchangeKey {
-    /// The connection, by number within its server.
+    /// Number of the connection within its server.
     pub connection: u64,
-    /// Counts from 1 within the connection.
+    /// Number of the exchange within the connection, from 1.
     pub number: u32,
 }
 
-/// What is wrong with a request.
+/// Error of a request that could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Problem {
-    /// It is not HTTP/1.1.
+    /// The request is not valid HTTP/1.1.
     Malformed,
-    /// Its head is longer than the limit.
+    /// The head exceeds [`Limits::head`].
     HeadTooLarge,
-    /// Its body is longer than the limit.
+    /// The body exceeds [`Limits::body`].
     BodyTooLarge,
-    /// It did not arrive in time.
+    /// The request did not arrive in time.
     Slow,
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Incoming {
-    /// The exchange.
+    /// The exchange of this request.
     pub key: ExchangeKey,
-    /// Its head, or what is wrong with it.
+    /// Head of the request, or the error if it could not be read.
     pub head: Result<http::Request<()>, Problem>,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Where the answer goes.
+    /// Sender of the answer.
     pub reply: Reply,
 }
 
-/// What a server tells its owner.
+/// Events that a server reports to its owner.
 #[derive(Debug)]
 pub enum Event {
-    /// A request is there. It must be answered.
+    /// A request arrived. The owner must answer it.
     Request(Box<Incoming>),
-    /// Its caller went away; nothing can be answered.
+    /// The caller disconnected; the exchange cannot be answered.
     Gone(ExchangeKey),
-    /// Its caller does not read: no more parts, please.
+    /// The output buffer is full because the caller does not read: the owner should send no more
+    /// parts until [`Event::Drained`].
     Full(ExchangeKey),
-    /// Its caller has read.
+    /// The output buffer has room again.
     Drained(ExchangeKey),
 }
 
-/// How the end of an answer is marked.
+/// Framing of an answer's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length: it is written when it is whole.
+    /// By length: the answer is buffered and written when it is complete.
     Whole,
-    /// By chunks: each part is written as it comes.
+    /// Chunked: each part is written as it arrives.
     Chunked,
 }
 
 /// A part of an answer.
 #[derive(Debug)]
 pub enum Part {
-    /// It begins.
+    /// The head, which starts the answer.
     Head(Box<http::Response<()>>, Framing),
-    /// Bytes of the body.
+    /// Part of the body.
     Bytes(Vec<u8>),
-    /// It is whole.
+    /// End of the answer.
     End,
-    /// It breaks off: the connection is closed, so that it does not look whole.
+    /// Aborts the answer. The connection is closed, so that the caller cannot mistake the answer
+    /// for a complete one.
     Abort,
 }
 
-/// Where the answer of one exchange goes.
+/// Sender of the answer of one exchange.
 #[derive(Clone)]
 pub struct Reply {
     to: Fwd<(ExchangeKey, Part)>,
@@ -132,12 +133,12 @@
         Self { to, key }
     }
 
-    /// Sends a part.
+    /// Sends a part of the answer.
     pub fn send(&self, part: Part) {
         self.to.fwd((self.key, part));
     }
 
-    /// Sends an answer that is whole.
+    /// Sends a complete answer.
     pub fn whole(&self, head: http::Response<()>, body: Vec<u8>) {
         self.send(Part::Head(Box::new(head), Framing::Whole));
         self.send(Part::Bytes(body));
@@ -148,21 +149,21 @@
 /// Limits of a server's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the head of a request.
+    /// Maximum size of a request's head in bytes.
     pub head: usize,
-    /// Bytes of its body.
+    /// Maximum size of a request's body in bytes.
     pub body: usize,
-    /// Time in which head and body must be there, each.
+    /// Time for the head to arrive, and for the body.
     pub head_time: Duration,
-    /// Time that a connection may rest between two requests.
+    /// Maximum idle time between two requests.
     pub idle_time: Duration,
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
 impl Default for Limits {
-    /// 16 KiB of head, as many servers; 4 MiB of body; 10 s to send; 75 s to
-    /// rest, longer than usual clients rest; 4,000 connections.
+    /// 16 KiB of head, as in many servers; 4 MiB of body; 10 s each to send them; 75 s idle, longer
+    /// than common clients keep an idle connection; 4,000 connections.
     fn default() -> Self {
         Self {
             head: 16 * 1024,
@@ -174,14 +175,14 @@
     }
 }
 
-/// Listens with a backlog that takes a burst of connections.
+/// Opens a listening socket with a backlog that holds a burst of connections.
 pub fn listen(addr: SocketAddr) -> Result<TcpListener, Error> {
     let open = || {
         let domain = socket2::Domain::for_address(addr);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
-        socket.set_send_buffer_size(SEND_BUFFER)?;
+        socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
         socket.bind(&addr.into())?;
         socket.listen(BACKLOG)?;
         Ok(TcpListener::from_std(socket.into()))
@@ -189,18 +190,18 @@
     open().context(ListenSnafu { addr })
 }
 
-/// The actor that accepts.
+/// Actor that accepts connections.
 pub struct Server {
     listener: Option<MioSource<TcpListener>>,
     owner: Fwd<Event>,
     limits: Limits,
     connections: HashMap<u64, ActorOwn<Connection>>,
-    next: u64,
+    next_key: u64,
     draining: bool,
 }
 
 impl Server {
-    /// Starts to accept.
+    /// Starts to accept connections.
     pub fn init(
         cx: CX![],
         listener: TcpListener,
@@ -217,12 +218,12 @@
                 return None;
             }
         };
-        after!(SWEEP, [cx], sweep());
+        after!(SWEEP_INTERVAL, [cx], sweep());
         let connections = HashMap::new();
-        Some(Self { listener, owner, limits, connections, next: 0, draining: false })
+        Some(Self { listener, owner, limits, connections, next_key: 0, draining: false })
     }
 
-    /// Changes the limits, for connections that are open as well.
+    /// Changes the limits, also of open connections.
     pub fn limit(&mut self, _cx: CX![], limits: Limits) {
         self.limits = limits;
         for it in self.connections.values() {
@@ -230,7 +231,7 @@
         }
     }
 
-    /// From now on each answer is the last one on its connection.
+    /// Makes every connection close after its next answer.
     pub fn drain(&mut self, _cx: CX![]) {
         self.draining = true;
         for it in self.connections.values() {
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Accepts no more, and closes connections on which nothing is under way.
+    /// Stops accepting, and closes connections without an exchange in progress.
     pub fn close(&mut self, _cx: CX![]) {
         self.listener = None;
         for it in self.connections.values() {
@@ -255,8 +256,8 @@
     }
 
     fn adopt(&mut self, cx: CX![], stream: TcpStream) {
-        self.next += 1;
-        let key = self.next;
+        self.next_key += 1;
+        let key = self.next_key;
         let ended = ret_some_to!([cx], |this, _cx, _cause: stakker::StopCause| {
             this.connections.remove(&key);
         });
@@ -271,6 +272,6 @@
         for it in self.connections.values() {
             call!([it], sweep(now));
         }
-        after!(SWEEP, [cx], sweep());
+        after!(SWEEP_INTERVAL, [cx], sweep());
     }
 }
