--- a/crates/sablepass-edge/src/client.rs
+++ b/crates/sablepass-edge/src/client.rs
@@ -1,12 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! HTTP/1.1 client on the event loop: one connection, as an actor that owns
-//! its socket, with one request at a time.
+//! HTTP/1.1 client on the event loop. An actor owns one connection, which carries one request at a
+//! time.
 //!
-//! Each part of an answer goes to the owner as it comes. When the connection
-//! ends before the answer is whole, the owner learns whether any byte of the
-//! request had left; only that none had is proof that it did not run.
+//! The parts of an answer are forwarded to the owner as they arrive. If the connection ends before
+//! the answer is complete, the owner learns whether any byte of the request had been written to the
+//! socket; only a request of which none was written is known not to have run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,118 +24,118 @@
 
 use crate::socket;
 
-/// Bytes read at once.
+/// Size of one read.
 const READ_SIZE: usize = 4 * 1024;
-/// Bytes of a head that is not whole beyond which it is none.
-const HEAD_LIMIT: usize = 64 * 1024;
-/// Bytes of a request line, and of what separates a header field.
-const LINE: usize = 64;
-/// Most bytes by which the protocol makes a body longer, for each chunk of 10 KiB.
-const CHUNK_EXTRA: usize = 16;
-/// Bytes of a chunk, as the protocol cuts them.
-const CHUNK: usize = 10 * 1024;
+/// Size of an incomplete response head beyond which the response is rejected.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Allowance in bytes for a request line, and for other parts of a head.
+const LINE_OVERHEAD: usize = 64;
+/// Maximum number of bytes that the chunked encoding adds to each chunk.
+const CHUNK_OVERHEAD: usize = 16;
+/// Maximum size of a chunk written by `ureq-proto`.
+const CHUNK_SIZE: usize = 10 * 1024;
 /// Priority of socket events in the poll.
 const PRIORITY: u32 = 10;
 
-/// Why a connection ended.
+/// Reason for the end of a connection.
 #[derive(Debug, Snafu)]
 pub enum Cause {
-    /// It could not be made.
+    /// The connection could not be established.
     #[snafu(display("connect: {source}"))]
     Connect {
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// It was not made in time.
-    #[snafu(display("connect: no answer in time"))]
+    /// The connection was not established in time.
+    #[snafu(display("connect: timed out"))]
     ConnectTime,
-    /// The other side closed it.
-    #[snafu(display("closed by the other side"))]
+    /// The peer closed the connection.
+    #[snafu(display("connection closed by the peer"))]
     Closed,
     /// The socket failed.
     #[snafu(display("socket: {source}"))]
     Socket {
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// What came is no answer, or what was to be sent no request.
+    /// The response or the outgoing request violates the protocol.
     #[snafu(display("protocol: {source}"))]
     Protocol {
-        /// Why.
+        /// Underlying error.
         source: ureq_proto::Error,
     },
-    /// The answer does not name the request.
-    #[snafu(display("the answer does not name the request"))]
+    /// The response lacks the header field of [`Outgoing::echo`].
+    #[snafu(display("response lacks the header field that identifies the request"))]
     Nameless,
-    /// Bytes came while no answer was due.
-    #[snafu(display("bytes came while no answer was due"))]
+    /// Data arrived while no response was pending.
+    #[snafu(display("data received while no response was pending"))]
     Unasked,
 }
 
 impl Cause {
-    /// Whether nothing listens at the address.
+    /// Whether the peer refused the connection: nothing listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect { source } if source.kind() == std::io::ErrorKind::ConnectionRefused)
     }
 
-    /// Whether the other side, or the way to it, ended a connection that stood.
+    /// Whether an established connection was ended by the peer or by the network.
     pub fn is_end(&self) -> bool {
         matches!(self, Self::Closed | Self::Socket { .. })
     }
 }
 
-/// What a connection tells its owner.
+/// Events that a connection reports to its owner.
 #[derive(Debug)]
 pub enum Event {
-    /// The connection stands; nothing has left yet.
+    /// The connection is established; no request bytes have been written.
     Connected,
-    /// The answer begins.
+    /// The head of the response.
     Head(Box<http::Response<()>>),
-    /// Bytes of its body.
+    /// Part of the response body.
     Bytes(Vec<u8>),
-    /// It is whole.
+    /// The response is complete.
     End {
-        /// The connection can take another request.
+        /// Whether the connection can carry another request.
         reusable: bool,
-        /// How long it may rest until then, if the other side said so.
+        /// Time for which the peer keeps the idle connection, if the response gave one.
         rest: Option<Duration>,
     },
-    /// The connection is over; nothing follows.
+    /// The connection has ended; no event follows.
     Closed {
-        /// Why.
+        /// Underlying error.
         cause: Cause,
-        /// Bytes of the current request had left.
+        /// Whether any byte of the current request was written to the socket.
         sent: bool,
     },
 }
 
-/// A request to be sent.
+/// A request to send.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Its head.
+    /// Head of the request.
     pub head: http::Request<()>,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// A field that the answer must repeat. Answers with another value are to
-    /// earlier requests and skipped.
+    /// A request header field that the response must repeat. A response with another value belongs
+    /// to an earlier request and is skipped.
     pub echo: Option<HeaderName>,
 }
 
-/// Limits of a connection.
+/// Timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Time in which it must be made.
+    /// Time to establish the connection.
     pub connect: Duration,
-    /// Time after which bytes that are not acknowledged end it.
+    /// Time for which sent data may stay unacknowledged before the kernel ends the connection.
     pub unacked: Duration,
-    /// Time without a word after which the other side is probed.
+    /// Idle time before keep-alive probes start, and their interval.
     pub probe: Duration,
 }
 
 impl Default for Options {
-    /// 300 ms to connect, some round trips between the halls of a region; 2 s
-    /// without acknowledgement; a probe a second when nothing is said, the
-    /// least that a kernel takes.
+    /// 300 ms to connect, which allows for some round trips between the halls of a region; 2 s
+    /// without acknowledgement; probes on an idle connection every second, the minimum of the
+    /// kernel.
     fn default() -> Self {
         Self {
             connect: Duration::from_millis(300),
@@ -149,27 +149,27 @@
     Idle,
     Answer(Box<proto::Call<state::RecvResponse>>),
     Body(Box<proto::Call<state::RecvBody>>),
-    Over,
+    Closed,
 }
 
-/// The actor.
+/// Actor that owns the connection.
 pub struct Connection {
     tcp: TcpStreamBuf,
     phase: Phase,
     owner: Fwd<Event>,
     connected: bool,
-    /// Bytes of the current request have left.
+    /// Whether any byte of the current request was written to the socket.
     sent: bool,
     paused: bool,
     echo: Option<(HeaderName, HeaderValue)>,
-    /// The answer that comes is to an earlier request.
+    /// The current response belongs to an earlier request.
     skipping: bool,
-    rest: Option<Duration>,
+    keep_alive: Option<Duration>,
     input_closed: bool,
 }
 
 impl Connection {
-    /// Begins to connect.
+    /// Starts to connect.
     pub fn init(cx: CX![], addr: SocketAddr, options: Options, owner: Fwd<Event>) -> Option<Self> {
         let poll = cx.anymap_get::<MioPoll>();
         let ready = fwd_to!([cx], ready() as (Ready));
@@ -199,12 +199,12 @@
             paused: false,
             echo: None,
             skipping: false,
-            rest: None,
+            keep_alive: None,
             input_closed: false,
         })
     }
 
-    /// Sends a request. The one before must have ended.
+    /// Sends a request. The previous exchange must have ended.
     pub fn send(&mut self, cx: CX![], it: Outgoing) {
         self.sent = false;
         self.skipping = false;
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Stops or goes on to read, as the reader of the answer can take it.
+    /// Pauses or resumes reading, for flow control by the reader of the response.
     pub fn pause(&mut self, cx: CX![], paused: bool) {
         self.paused = paused;
         if !paused {
@@ -249,7 +249,7 @@
     }
 
     fn flush(&mut self, cx: CX![]) {
-        if !self.connected || matches!(self.phase, Phase::Over) {
+        if !self.connected || matches!(self.phase, Phase::Closed) {
             return;
         }
         let before = self.tcp.out.len();
@@ -257,17 +257,17 @@
         self.sent |= self.tcp.out.len() < before;
         if let Err(source) = flushed {
             self.input_closed = true;
-            // An answer may have come before the connection broke.
+            // A response may have arrived before the connection broke.
             self.read(cx);
             self.close(cx, Cause::Socket { source });
         }
     }
 
     fn read(&mut self, cx: CX![]) {
-        while !self.paused && !matches!(self.phase, Phase::Over) {
+        while !self.paused && !matches!(self.phase, Phase::Closed) {
             let before = self.tcp.wr - self.tcp.rd;
             let status = self.tcp.read(READ_SIZE);
-            let taken = self.tcp.wr - self.tcp.rd - before;
+            let received = self.tcp.wr - self.tcp.rd - before;
             match status {
                 ReadStatus::NewData => {
                     self.connected = true;
@@ -275,7 +275,7 @@
                         self.close(cx, cause);
                         return;
                     }
-                    if taken < READ_SIZE && !self.input_closed {
+                    if received < READ_SIZE && !self.input_closed {
                         return;
                     }
                 }
@@ -296,7 +296,8 @@
         }
     }
 
-    /// An answer without a length is whole when its connection ends in order.
+    /// Handles the end of the input. A body delimited by the end of the connection is complete
+    /// then.
     fn end_of_stream(&mut self, cx: CX![]) {
         let unsized_body = match &self.phase {
             Phase::Body(it) => it.body_mode() == ureq_proto::BodyMode::CloseDelimited,
@@ -315,7 +316,7 @@
                 Phase::Idle => return self.take_idle(),
                 Phase::Answer(_) => self.take_head()?,
                 Phase::Body(_) => self.take_body()?,
-                Phase::Over => false,
+                Phase::Closed => false,
             };
             if !more {
                 return Ok(());
@@ -334,14 +335,14 @@
             call.try_response(input, false).map_err(|source| Cause::Protocol { source })?;
         self.tcp.rd += used;
         let Some(response) = response else {
-            if self.tcp.wr - self.tcp.rd > HEAD_LIMIT {
+            if self.tcp.wr - self.tcp.rd > MAX_HEAD_BYTES {
                 return Err(Cause::Protocol { source: ureq_proto::Error::HttpParseTooManyHeaders });
             }
             return Ok(used > 0);
         };
-        self.skipping = self.is_surplus(&response)?;
-        self.rest = rest(&response);
-        let Phase::Answer(call) = std::mem::replace(&mut self.phase, Phase::Over) else {
+        self.skipping = self.is_for_earlier_request(&response)?;
+        self.keep_alive = keep_alive_timeout(&response);
+        let Phase::Answer(call) = std::mem::replace(&mut self.phase, Phase::Closed) else {
             return Ok(false);
         };
         if !self.skipping {
@@ -356,8 +357,8 @@
         Ok(true)
     }
 
-    /// Whether an answer is to an earlier request.
-    fn is_surplus(&self, response: &http::Response<()>) -> Result<bool, Cause> {
+    /// Whether a response belongs to an earlier request.
+    fn is_for_earlier_request(&self, response: &http::Response<()>) -> Result<bool, Cause> {
         let Some((name, value)) = &self.echo else { return Ok(false) };
         match response.headers().get(name) {
             Some(it) => Ok(it != value),
@@ -369,29 +370,29 @@
         let Phase::Body(call) = &mut self.phase else { return Ok(false) };
         let input = &self.tcp.inp[self.tcp.rd..self.tcp.wr];
         let mut bytes = vec![0; input.len()];
-        let mut gained = 0;
+        let mut decoded = 0;
         let mut used = 0;
         loop {
-            let (taken, made) = call
-                .read(&input[used..], &mut bytes[gained..])
+            let (consumed, output) = call
+                .read(&input[used..], &mut bytes[decoded..])
                 .map_err(|source| Cause::Protocol { source })?;
-            used += taken;
-            gained += made;
-            if taken == 0 {
+            used += consumed;
+            decoded += output;
+            if consumed == 0 {
                 break;
             }
         }
         self.tcp.rd += used;
-        bytes.truncate(gained);
+        bytes.truncate(decoded);
         let unsized_body = call.body_mode() == ureq_proto::BodyMode::CloseDelimited;
-        let whole = call.can_proceed() && !unsized_body;
+        let complete = call.can_proceed() && !unsized_body;
         if !bytes.is_empty() && !self.skipping {
             self.owner.fwd(Event::Bytes(bytes));
         }
-        if !whole {
+        if !complete {
             return Ok(false);
         }
-        let Phase::Body(call) = std::mem::replace(&mut self.phase, Phase::Over) else {
+        let Phase::Body(call) = std::mem::replace(&mut self.phase, Phase::Closed) else {
             return Ok(false);
         };
         match call.proceed() {
@@ -404,49 +405,49 @@
 
     fn finish(&mut self, must_close: bool) -> Result<(), Cause> {
         if self.skipping {
-            // The answer to this request is still due, behind the surplus one.
-            let again = resume().map_err(|source| Cause::Protocol { source })?;
-            self.phase = Phase::Answer(Box::new(again));
+            // The response to the current request follows the skipped one.
+            let call = awaiting_response().map_err(|source| Cause::Protocol { source })?;
+            self.phase = Phase::Answer(Box::new(call));
             return if must_close { Err(Cause::Closed) } else { Ok(()) };
         }
-        let clean = self.tcp.rd == self.tcp.wr && self.tcp.out.is_empty() && !self.input_closed;
-        let reusable = !must_close && clean;
-        self.owner.fwd(Event::End { reusable, rest: self.rest });
+        let is_clean = self.tcp.rd == self.tcp.wr && self.tcp.out.is_empty() && !self.input_closed;
+        let reusable = !must_close && is_clean;
+        self.owner.fwd(Event::End { reusable, rest: self.keep_alive });
         self.phase = Phase::Idle;
         Ok(())
     }
 
     fn close(&mut self, cx: CX![], cause: Cause) {
-        if matches!(self.phase, Phase::Over) {
+        if matches!(self.phase, Phase::Closed) {
             return;
         }
-        self.phase = Phase::Over;
+        self.phase = Phase::Closed;
         self.tcp.deinit();
         self.owner.fwd(Event::Closed { cause, sent: self.sent });
         stop!(cx);
     }
 }
 
-/// One that carries nothing is closed in order.
+/// Closes an idle connection in order. A connection with an exchange in progress is reset.
 impl Drop for Connection {
     fn drop(&mut self) {
         if matches!(self.phase, Phase::Idle) {
             self.tcp.out_eof = true;
-            // The socket is closed either way.
+            // The socket is closed in any case.
             let _ = self.tcp.flush();
         }
     }
 }
 
-/// How long the other side keeps a resting connection, in whole seconds.
-fn rest(response: &http::Response<()>) -> Option<Duration> {
+/// The `timeout` parameter of the `Keep-Alive` header field, in whole seconds.
+fn keep_alive_timeout(response: &http::Response<()>) -> Option<Duration> {
     let value = response.headers().get("keep-alive")?.to_str().ok()?;
     let parts = value.split(',').filter_map(|it| it.trim().split_once('='));
     let found = parts.into_iter().find(|(name, _)| name.eq_ignore_ascii_case("timeout"));
     found.and_then(|(_, value)| value.trim().parse().ok()).map(Duration::from_secs)
 }
 
-/// Writes a whole request to the end of `out`.
+/// Appends an encoded request to `out`.
 fn encode(
     head: http::Request<()>,
     body: &[u8],
@@ -464,7 +465,7 @@
     }
     let mut call = call.proceed();
     let start = out.len();
-    out.resize(start + size + 4 * LINE, 0);
+    out.resize(start + size + 4 * LINE_OVERHEAD, 0);
     let mut end = start;
     while !call.can_proceed() {
         end += call.write(&mut out[end..])?;
@@ -473,7 +474,7 @@
     match call.proceed()? {
         Some(SendRequestResult::RecvResponse(it)) => Ok(it),
         Some(SendRequestResult::SendBody(it)) => encode_body(it, body, out),
-        // The field that asks for it is never sent.
+        // `Expect: 100-continue` is never sent.
         Some(SendRequestResult::Await100(_)) | None => Err(ureq_proto::Error::BodyNotAllowed),
     }
 }
@@ -485,20 +486,20 @@
 ) -> Result<proto::Call<state::RecvResponse>, ureq_proto::Error> {
     loop {
         let start = out.len();
-        let room = body.len() + (body.len() / CHUNK + 1) * CHUNK_EXTRA;
-        out.resize(start + room, 0);
-        let (used, gained) = call.write(body, &mut out[start..])?;
-        out.truncate(start + gained);
+        let max_size = body.len() + (body.len() / CHUNK_SIZE + 1) * CHUNK_OVERHEAD;
+        out.resize(start + max_size, 0);
+        let (used, written) = call.write(body, &mut out[start..])?;
+        out.truncate(start + written);
         body = &body[used..];
-        if call.can_proceed() || (used == 0 && gained == 0) {
+        if call.can_proceed() || (used == 0 && written == 0) {
             break;
         }
     }
     call.proceed().ok_or(ureq_proto::Error::BodyNotAllowed)
 }
 
-/// The state of a request that was sent and waits for its answer.
-fn resume() -> Result<proto::Call<state::RecvResponse>, ureq_proto::Error> {
+/// Returns the state of a request that was sent and waits for its response.
+fn awaiting_response() -> Result<proto::Call<state::RecvResponse>, ureq_proto::Error> {
     let mut head = http::Request::new(());
     head.headers_mut().insert(header::HOST, HeaderValue::from_static("localhost"));
     encode(head, &[], &mut Vec::new())
--- a/crates/sablepass-edge/src/link.rs
+++ b/crates/sablepass-edge/src/link.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! One TCP connection to another process, as an actor that owns its socket.
+//! One TCP connection to another process of the system, as an actor that owns the socket. Used by
+//! [`crate::mesh`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,59 +18,59 @@
 use crate::socket;
 use crate::telemetry::Metrics;
 
-/// Bytes read at once. Each connection keeps a buffer of this size, and an agent
-/// of a group of 72 ranks has 83 of them; with 64 KB they were 9 of its 13 MB.
+/// Size of one read, and of the buffer that each connection keeps. An agent in a group of 72 ranks
+/// has 83 connections; with 64 KB their buffers took 9 MB of its 13 MB of memory.
 const READ_SIZE: usize = 8 * 1024;
-/// Bytes that may wait to be sent before a peer counts as stuck.
-const SEND_LIMIT: usize = 32 << 20;
-/// Time in which a connection must be made: some round trips, and less than a
-/// kernel waits before it sends a lost opening packet again.
-const CONNECT: Duration = Duration::from_millis(600);
-/// Time after which bytes that are not acknowledged end a connection.
-const UNACKED: Duration = Duration::from_secs(3);
-/// Time without a word after which the other side is probed: the least that a kernel takes.
-const PROBE: Duration = Duration::from_secs(1);
+/// Size of the send buffer above which the peer counts as stuck.
+const MAX_SEND_BUFFER_BYTES: usize = 32 << 20;
+/// Time to establish a connection: some round trips, but less than the kernel waits before it
+/// retransmits a lost SYN packet.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time for which sent data may stay unacknowledged before the kernel ends the connection.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Idle time before keep-alive probes start, and their interval: the minimum of the kernel.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Priority of socket events in the poll.
 const PRIORITY: u32 = 10;
 
-/// Why a connection ended.
+/// Reason for the end of a connection.
 #[derive(Debug, Snafu)]
 pub enum Cause {
-    /// The peer closed it.
-    #[snafu(display("closed by the peer"))]
+    /// The peer closed the connection.
+    #[snafu(display("connection closed by the peer"))]
     End,
     /// The socket failed.
     #[snafu(display("socket: {source}"))]
     Socket {
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// The peer sent what is not a frame.
+    /// A frame could not be encoded or decoded.
     #[snafu(display("frame: {source}"))]
     Frame {
-        /// Why.
+        /// Underlying error.
         source: frame::Error,
     },
-    /// It was not made in time.
-    #[snafu(display("no answer in time"))]
+    /// The connection was not established in time.
+    #[snafu(display("connect: timed out"))]
     ConnectTime,
-    /// The peer does not read.
-    #[snafu(display("the peer does not read"))]
+    /// The send buffer is full because the peer does not read.
+    #[snafu(display("send buffer is full: the peer does not read"))]
     Stuck,
 }
 
-/// What a connection tells its owner. A message is moved once, into the
-/// owner's queue, so its size does not matter here.
+/// Events that a connection reports to its owner. A message is moved only once, into the owner's
+/// queue, so the size of the variants does not matter.
 #[derive(Debug)]
 #[allow(clippy::large_enum_variant)]
 pub enum Event {
     /// A message arrived.
     Message(Body),
-    /// The connection ended; nothing follows.
+    /// The connection has ended; no event follows.
     Closed(Cause),
 }
 
-/// The actor.
+/// Actor that owns the connection.
 pub struct Link {
     tcp: TcpStreamBuf,
     codec: Codec,
@@ -79,7 +80,7 @@
 }
 
 impl Link {
-    /// Takes a socket, connected or connecting.
+    /// Takes over a socket that is connected or connecting.
     pub fn init(
         cx: CX![],
         stream: TcpStream,
@@ -89,13 +90,13 @@
         let poll = cx.anymap_get::<MioPoll>();
         let interest = Interest::READABLE | Interest::WRITABLE;
         let ready = fwd_to!([cx], ready() as (Ready));
-        let guarded = socket::guard(&stream, UNACKED, PROBE);
+        let guarded = socket::guard(&stream, UNACKED_TIMEOUT, PROBE_INTERVAL);
         match guarded.and_then(|()| poll.add(stream, interest, PRIORITY, ready)) {
             Ok(source) => {
                 let mut tcp = TcpStreamBuf::new();
                 tcp.init(source);
                 tcp.set_nodelay(true);
-                after!(CONNECT, [cx], check_connected());
+                after!(CONNECT_TIMEOUT, [cx], check_connected());
                 Some(Self { tcp, codec: Codec::open(), owner, metrics, connected: false })
             }
             Err(source) => {
@@ -115,7 +116,7 @@
             return;
         }
         self.metrics.message(kind, "out", self.tcp.out.len() - before);
-        if self.tcp.out.len() > SEND_LIMIT {
+        if self.tcp.out.len() > MAX_SEND_BUFFER_BYTES {
             self.close(cx, Cause::Stuck);
             return;
         }
@@ -147,7 +148,7 @@
     fn read(&mut self, cx: CX![]) {
         loop {
             let cause = match self.tcp.read(READ_SIZE) {
-                ReadStatus::NewData => match self.take() {
+                ReadStatus::NewData => match self.decode() {
                     Ok(()) => continue,
                     Err(source) => Cause::Frame { source },
                 },
@@ -160,7 +161,7 @@
         }
     }
 
-    fn take(&mut self) -> Result<(), frame::Error> {
+    fn decode(&mut self) -> Result<(), frame::Error> {
         self.codec.feed(&self.tcp.inp[self.tcp.rd..self.tcp.wr]);
         self.tcp.rd = self.tcp.wr;
         while let Some((body, size)) = self.codec.next_body()? {
