--- a/crates/sablepass-edge/src/telemetry.rs
+++ b/crates/sablepass-edge/src/telemetry.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Metrics of a process.
+//! Prometheus metrics of a process. Names and labels are part of the interface to operators.
 
 use prometheus::{
     Encoder, Gauge, GaugeVec, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge,
@@ -10,7 +10,7 @@
 use sablepass_core::reason::{Ignored, Refusal, Retry};
 use snafu::{ResultExt, Snafu};
 
-/// Why telemetry could not be set up.
+/// Error of setting up the metrics.
 #[derive(Debug, Snafu)]
 #[snafu(display("metrics: {source}"))]
 pub struct Error {
@@ -28,23 +28,23 @@
     control_messages: IntCounterVec,
     /// Requests admitted (entry) or started (agent).
     pub requests: IntCounter,
-    /// Requests that got a whole answer.
+    /// Requests that were answered completely.
     pub answered: IntCounter,
-    /// Requests held now.
+    /// Requests in progress.
     pub in_flight: IntGauge,
-    /// Configuration revision held.
+    /// Revision of the declarations in this process.
     pub revision: IntGauge,
-    /// Era of the platform's service: it rises each time that this was restored from a copy.
+    /// Era of the platform's service. Rises with each restore from a backup.
     pub era: IntGauge,
-    /// Reads of the platform's service, watches included, by outcome.
+    /// Reads of the platform's service, including watches, by outcome.
     pub reads: IntCounterVec,
     /// Seconds from a request's arrival to the first byte of its answer.
     pub first_byte: Histogram,
-    /// Seconds between two parts of an answer.
+    /// Seconds between two consecutive parts of an answer.
     pub between: Histogram,
     /// Seconds that a request waited before it was sent to a target.
     pub wait: Histogram,
-    /// 1 when an agent has drained.
+    /// 1 once an agent has drained.
     pub drained: IntGauge,
     /// Connections to other processes, by direction.
     pub links: IntGaugeVec,
@@ -56,57 +56,61 @@
     pub skew: Gauge,
     /// Decisions on expert maps, by outcome.
     pub plans: IntCounterVec,
-    /// Experts that ranks are to copy for proposed maps, by what the maps answer.
+    /// Expert copies that proposed maps require of ranks, by reason for the map.
     pub expert_copies: IntCounterVec,
-    /// Items of the platform that could not be taken, by reason.
+    /// Items of the platform that were rejected, by reason.
     pub bad_items: IntCounterVec,
-    /// Times that this process woke: its machine was suspended, or it was stopped.
+    /// Suspensions of this process: its machine was suspended, or the process was stopped.
     pub sleeps: IntCounter,
-    /// Targets by how this entry knows them: listed, with a connection to the agent beside
-    /// them, usable now.
+    /// Targets by state: listed, connected to their agent, and usable now.
     pub targets: IntGaugeVec,
-    /// Targets that ended under a request, seen here or told by others.
+    /// Targets that ended during a request, by source: observed here or reported by others.
     pub deaths: IntCounterVec,
-    /// Requests sent to targets that rested: none, unless this program has a fault.
+    /// Requests sent to targets that had asked for a pause. Always 0 unless this program has a
+    /// fault.
     pub sent_to_resting: IntCounter,
-    /// Requests sent to targets that were known to leave: a fault of this process.
+    /// Requests sent to targets known to be leaving. Always 0 unless this program has a fault.
     pub sent_to_leaving: IntCounter,
-    /// Targets that said with an answer that they leave, seen here or told by others.
+    /// Targets whose answer announced that they are leaving, by source: observed here or reported
+    /// by others.
     pub left: IntCounterVec,
-    /// Requests that targets did not take, by what they asked for.
+    /// Requests that targets rejected, by whether and how a pause was requested.
     pub turned_away: IntCounterVec,
-    /// Fields of targets' answers that nobody reads, by name.
+    /// Header fields of answers that this program does not interpret, by name.
     pub fields_unread: IntCounterVec,
-    /// Requests sent over this entry's part of a limit: none, unless this program has a fault.
+    /// Requests sent beyond this entry's share of a limit. Always 0 unless this program has a
+    /// fault.
     pub sent_over_limit: IntCounter,
-    /// Requests a second that targets with limits take from all entries, and this one's part.
+    /// Requests per second that targets with limits accept from all entries, and this entry's
+    /// share.
     pub limits: GaugeVec,
-    /// Requests that had to wait for their turn at a target with a limit, by outcome.
+    /// Requests that waited for permission under a target's limit, by outcome.
     pub turns: IntCounterVec,
-    /// Answers that named a limit, by whether that could be read.
+    /// Answers that named a limit, by whether the limit could be read.
     pub limits_named: IntCounterVec,
-    /// Requests under which targets ended, forgotten for want of room.
+    /// Suspect requests, during which targets had ended, that were evicted because the table was
+    /// full.
     pub suspects_evicted: IntCounter,
 }
 
-/// Buckets in seconds: 1 ms to about 16 s.
+/// Histogram buckets: 1 ms to about 16 s.
 fn buckets() -> Vec<f64> {
     prometheus::exponential_buckets(0.001, 2.0, 15).unwrap_or_default()
 }
 
 impl Metrics {
-    /// Opens the metrics, with a counter at 0 for every reason.
+    /// Registers the metrics and creates the counters of every reason at 0.
     pub fn open() -> Result<Self, Error> {
         let registry = Registry::new();
         let r = &registry;
         let metrics = Self {
             refusals: counters(r, "refusals_total", "Requests refused or failed", &["reason"])?,
-            retries: counters(r, "retries_total", "Attempts that followed another", &["reason"])?,
-            ignored: counters(r, "ignored_total", "Arrivals ignored", &["reason"])?,
+            retries: counters(r, "retries_total", "Retries of requests", &["reason"])?,
+            ignored: counters(r, "ignored_total", "Ignored messages and items", &["reason"])?,
             control_bytes: counters(
                 r,
                 "link_bytes_total",
-                "Bytes between processes",
+                "Bytes of messages between processes",
                 &["kind", "direction"],
             )?,
             control_messages: counters(
@@ -116,9 +120,9 @@
                 &["kind", "direction"],
             )?,
             requests: counter(r, "requests_total", "Requests admitted or started")?,
-            answered: counter(r, "answered_total", "Requests with a whole answer")?,
-            in_flight: gauge(r, "in_flight", "Requests held")?,
-            revision: gauge(r, "config_revision", "Configuration revision held")?,
+            answered: counter(r, "answered_total", "Requests answered completely")?,
+            in_flight: gauge(r, "in_flight", "Requests in progress")?,
+            revision: gauge(r, "config_revision", "Revision of the configuration in this process")?,
             era: gauge(r, "platform_era", "Era of the platform's service")?,
             reads: counters(
                 r,
@@ -126,10 +130,14 @@
                 "Reads of the platform's service",
                 &["what", "outcome"],
             )?,
-            first_byte: histogram(r, "first_byte_seconds", "Arrival to first byte")?,
-            between: histogram(r, "between_parts_seconds", "Between two parts of an answer")?,
-            wait: histogram(r, "wait_seconds", "Wait before the request was sent")?,
-            drained: gauge(r, "drained", "1 when the agent has drained")?,
+            first_byte: histogram(
+                r,
+                "first_byte_seconds",
+                "Time from arrival to the first byte of the answer",
+            )?,
+            between: histogram(r, "between_parts_seconds", "Time between two parts of an answer")?,
+            wait: histogram(r, "wait_seconds", "Time before the request was sent to a target")?,
+            drained: gauge(r, "drained", "1 once the agent has drained")?,
             links: gauges(r, "links", "Connections to other processes", &["direction"])?,
             once: gauges(r, "once_entries", "Entries of the at-most-once table", &["kind"])?,
             map_version: gauge(r, "map_version", "Version of the expert map in force")?,
@@ -138,48 +146,68 @@
             expert_copies: counters(
                 r,
                 "expert_copies_total",
-                "Experts copied for proposed maps",
+                "Expert copies required by proposed maps",
                 &["cause"],
             )?,
-            bad_items: counters(r, "bad_items_total", "Items not taken", &["reason"])?,
-            sleeps: counter(r, "sleeps_total", "Times that the process woke")?,
-            targets: gauges(r, "targets", "Targets by how they are known", &["state"])?,
-            deaths: counters(r, "deaths_total", "Targets that ended under a request", &["source"])?,
+            bad_items: counters(
+                r,
+                "bad_items_total",
+                "Rejected items of the platform",
+                &["reason"],
+            )?,
+            sleeps: counter(r, "sleeps_total", "Suspensions of the process")?,
+            targets: gauges(r, "targets", "Targets by state", &["state"])?,
+            deaths: counters(
+                r,
+                "deaths_total",
+                "Targets that ended during a request",
+                &["source"],
+            )?,
             sent_to_resting: counter(
                 r,
                 "sent_to_resting_total",
-                "Requests sent to targets that rested: a fault",
+                "Requests sent to targets that had asked for a pause; above 0 is a fault of this program",
             )?,
             sent_to_leaving: counter(
                 r,
                 "sent_to_leaving_total",
-                "Requests sent to targets that were known to leave: a fault",
+                "Requests sent to targets known to be leaving; above 0 is a fault of this program",
             )?,
             left: counters(
                 r,
                 "targets_left_total",
-                "Targets that said that they leave",
+                "Targets that announced that they are leaving",
                 &["source"],
             )?,
             turned_away: counters(
                 r,
                 "turned_away_total",
-                "Requests that targets did not take",
+                "Requests rejected by targets",
                 &["asked"],
             )?,
             fields_unread: counters(
                 r,
                 "fields_unread_total",
-                "Fields of answers that nobody reads",
+                "Uninterpreted header fields in answers",
                 &["field"],
             )?,
             sent_over_limit: counter(
                 r,
                 "sent_over_limit_total",
-                "Requests sent over the part of a limit: a fault",
+                "Requests sent beyond the share of a limit; above 0 is a fault of this program",
+            )?,
+            limits: float_gauges(
+                r,
+                "limits",
+                "Requests per second under limits of targets",
+                &["whose"],
+            )?,
+            turns: counters(
+                r,
+                "turns_total",
+                "Requests that waited for permission under a limit",
+                &["outcome"],
             )?,
-            limits: float_gauges(r, "limits", "Requests a second under limits", &["whose"])?,
-            turns: counters(r, "turns_total", "Turns at targets with limits", &["outcome"])?,
             limits_named: counters(
                 r,
                 "limits_named_total",
@@ -189,16 +217,16 @@
             suspects_evicted: counter(
                 r,
                 "suspects_evicted_total",
-                "Requests that ended targets forgotten",
+                "Suspect requests evicted from the table",
             )?,
             registry,
         };
-        metrics.start();
+        metrics.create_labels();
         Ok(metrics)
     }
 
-    /// Makes every label appear before its first count.
-    fn start(&self) {
+    /// Makes every label visible before its first count.
+    fn create_labels(&self) {
         for it in Refusal::ALL {
             self.refusals.with_label_values(&[it.label()]);
         }
@@ -210,28 +238,28 @@
         }
     }
 
-    /// Counts a refusal or failure.
-    pub fn refused(&self, it: Refusal) {
-        self.refusals.with_label_values(&[it.label()]).inc();
+    /// Counts a refused or failed request.
+    pub fn refused(&self, reason: Refusal) {
+        self.refusals.with_label_values(&[reason.label()]).inc();
     }
 
     /// Counts a retry.
-    pub fn retried(&self, it: Retry) {
-        self.retries.with_label_values(&[it.label()]).inc();
+    pub fn retried(&self, reason: Retry) {
+        self.retries.with_label_values(&[reason.label()]).inc();
     }
 
-    /// Counts something ignored.
-    pub fn ignored(&self, it: Ignored) {
-        self.ignored.with_label_values(&[it.label()]).inc();
+    /// Counts an ignored event.
+    pub fn ignored(&self, reason: Ignored) {
+        self.ignored.with_label_values(&[reason.label()]).inc();
     }
 
-    /// Counts a message between processes.
+    /// Counts a message between processes and its size.
     pub fn message(&self, kind: &str, direction: &str, bytes: usize) {
         self.control_messages.with_label_values(&[kind, direction]).inc();
         self.control_bytes.with_label_values(&[kind, direction]).inc_by(bytes as u64);
     }
 
-    /// The text that `/metrics` serves.
+    /// Renders the metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         // Writing to memory fails only for metrics without a name.
@@ -244,9 +272,12 @@
     Opts::new(format!("sablepass_{name}"), help)
 }
 
-fn add<T: prometheus::core::Collector + Clone + 'static>(r: &Registry, it: T) -> Result<T, Error> {
-    r.register(Box::new(it.clone())).context(Snafu)?;
-    Ok(it)
+fn add<T: prometheus::core::Collector + Clone + 'static>(
+    r: &Registry,
+    collector: T,
+) -> Result<T, Error> {
+    r.register(Box::new(collector.clone())).context(Snafu)?;
+    Ok(collector)
 }
 
 fn counter(r: &Registry, name: &str, help: &str) -> Result<IntCounter, Error> {
