--- a/crates/sablepass-edge/src/caller.rs
+++ b/crates/sablepass-edge/src/caller.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Short calls to one address, one at a time, over a connection that is kept:
-//! the answer comes whole, or a reason why there is none.
+//! Makes short HTTP calls to one address, one at a time, over a connection that is kept open. The
+//! owner receives the complete answer or an error.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,45 +13,45 @@
 
 use crate::client::{self, Connection, Outgoing};
 
-/// Why a call has no answer.
+/// Error of a call.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     #[snafu(display("{source}"))]
     Broken {
-        /// Why.
+        /// Underlying error.
         source: client::Cause,
     },
-    /// No answer in time.
-    #[snafu(display("no answer in time"))]
+    /// No complete answer arrived in time.
+    #[snafu(display("no complete answer in time"))]
     Time,
-    /// The answer is longer than it may be.
-    #[snafu(display("answer longer than {most} bytes"))]
+    /// The answer exceeds the maximum size.
+    #[snafu(display("answer longer than {max_bytes} bytes"))]
     TooLong {
-        /// The most.
-        most: usize,
+        /// Maximum size in bytes.
+        max_bytes: usize,
     },
 }
 
 impl Error {
-    /// Whether nothing listens at the address.
+    /// Whether the connection was refused: nothing listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Broken { source } if source.is_refused())
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Default)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Its header fields.
+    /// Header fields.
     pub fields: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// A call.
+/// A call to make.
 #[derive(Debug)]
 pub struct Call {
     /// HTTP method.
@@ -60,62 +60,70 @@
     pub path: String,
     /// JSON body, if it has one.
     pub body: Option<Vec<u8>>,
-    /// Time in which the answer must be whole.
+    /// Time for the complete answer to arrive.
     pub limit: Duration,
 }
 
 impl Call {
-    /// A call that reads.
+    /// Creates a GET call.
     pub fn get(path: impl Into<String>, limit: Duration) -> Self {
         Self { method: http::Method::GET, path: path.into(), body: None, limit }
     }
 
-    /// A call that gives a JSON body.
+    /// Creates a POST call with a JSON body.
     pub fn post(path: impl Into<String>, body: Vec<u8>, limit: Duration) -> Self {
         Self { method: http::Method::POST, path: path.into(), body: Some(body), limit }
     }
 }
 
-/// The call under way.
+/// The pending call.
 struct Current {
     number: u64,
     answer: Answer,
 }
 
-/// The actor.
+/// Actor that makes the calls.
 pub struct Caller {
     addr: SocketAddr,
-    most: usize,
+    max_bytes: usize,
     owner: Fwd<Result<Answer, Error>>,
     connection: Option<ActorOwn<Connection>>,
-    /// Counts connections, so that a late event of an old one is known.
-    opened: u64,
-    /// Counts calls, for their time limits.
+    /// Number of the current connection, by which late events of an earlier one are recognized.
+    connection_number: u64,
+    /// Number of the last call, by which an expired timer of an earlier one is recognized.
     calls: u64,
     current: Option<Current>,
 }
 
 impl Caller {
-    /// Opens without a connection. Answers have `most` bytes at most.
+    /// Creates a caller without a connection. Answers may have up to `max_bytes` bytes.
     pub fn init(
         _cx: CX![],
         addr: SocketAddr,
-        most: usize,
+        max_bytes: usize,
         owner: Fwd<Result<Answer, Error>>,
     ) -> Option<Self> {
-        Some(Self { addr, most, owner, connection: None, opened: 0, calls: 0, current: None })
+        Some(Self {
+            addr,
+            max_bytes,
+            owner,
+            connection: None,
+            connection_number: 0,
+            calls: 0,
+            current: None,
+        })
     }
 
-    /// Makes a call. One that is still under way is given up without a word.
-    pub fn call(&mut self, cx: CX![], it: Call) {
+    /// Makes a call. A pending one is abandoned without a result.
+    pub fn call(&mut self, cx: CX![], request: Call) {
         if self.current.is_some() {
             self.connection = None;
         }
         self.calls += 1;
         let number = self.calls;
         self.current = Some(Current { number, answer: Answer::default() });
-        let limit = it.limit;
-        let outgoing = self.outgoing(it);
+        let limit = request.limit;
+        let outgoing = self.outgoing(request);
         if self.connection.is_none() {
             self.connect(cx);
         }
@@ -125,27 +133,28 @@
         after!(limit, [cx], check_time(number));
     }
 
-    fn outgoing(&self, it: Call) -> Outgoing {
+    fn outgoing(&self, request: Call) -> Outgoing {
         let mut head = http::Request::new(());
-        *head.method_mut() = it.method;
-        // Paths are made by this project and always valid.
-        *head.uri_mut() = it.path.parse().unwrap_or_default();
+        *head.method_mut() = request.method;
+        // Paths are built by this program and are always valid.
+        *head.uri_mut() = request.path.parse().unwrap_or_default();
         let fields = head.headers_mut();
         if let Ok(host) = HeaderValue::from_str(&self.addr.to_string()) {
             fields.insert(header::HOST, host);
         }
-        if let Some(body) = &it.body {
+        if let Some(body) = &request.body {
             fields.insert(header::CONTENT_LENGTH, body.len().into());
             let json = HeaderValue::from_static("application/json");
             fields.insert(header::CONTENT_TYPE, json);
         }
-        Outgoing { head, body: it.body.unwrap_or_default(), echo: None }
+        Outgoing { head, body: request.body.unwrap_or_default(), echo: None }
     }
 
     fn connect(&mut self, cx: CX![]) {
-        self.opened += 1;
-        let opened = self.opened;
-        let events = fwd_to!([cx], |this, cx, it: client::Event| this.event(cx, opened, it));
+        self.connection_number += 1;
+        let connection_number = self.connection_number;
+        let events =
+            fwd_to!([cx], |this, cx, it: client::Event| this.event(cx, connection_number, it));
         let connection = actor_new!(cx, Connection, ret_nop!());
         let options = client::Options::default();
         call!([connection], Connection::init(self.addr, options, events));
@@ -158,16 +167,16 @@
         }
     }
 
-    fn event(&mut self, _cx: CX![], opened: u64, event: client::Event) {
-        if opened != self.opened {
+    fn event(&mut self, _cx: CX![], connection_number: u64, event: client::Event) {
+        if connection_number != self.connection_number {
             return;
         }
         match event {
             client::Event::Connected => {}
             client::Event::Head(head) => {
-                if let Some(it) = &mut self.current {
-                    it.answer.status = head.status().as_u16();
-                    it.answer.fields = head.into_parts().0.headers;
+                if let Some(current) = &mut self.current {
+                    current.answer.status = head.status().as_u16();
+                    current.answer.fields = head.into_parts().0.headers;
                 }
             }
             client::Event::Bytes(bytes) => self.bytes(&bytes),
@@ -175,8 +184,8 @@
                 if !reusable {
                     self.connection = None;
                 }
-                if let Some(it) = self.current.take() {
-                    self.owner.fwd(Ok(it.answer));
+                if let Some(current) = self.current.take() {
+                    self.owner.fwd(Ok(current.answer));
                 }
             }
             client::Event::Closed { cause, .. } => self.fail(Error::Broken { source: cause }),
@@ -184,14 +193,14 @@
     }
 
     fn bytes(&mut self, bytes: &[u8]) {
-        let Some(it) = &mut self.current else { return };
-        it.answer.body.extend_from_slice(bytes);
-        if it.answer.body.len() > self.most {
-            self.fail(Error::TooLong { most: self.most });
+        let Some(current) = &mut self.current else { return };
+        current.answer.body.extend_from_slice(bytes);
+        if current.answer.body.len() > self.max_bytes {
+            self.fail(Error::TooLong { max_bytes: self.max_bytes });
         }
     }
 
-    /// Ends the call, if there is one, and its connection.
+    /// Closes the connection and fails the pending call, if there is one.
     fn fail(&mut self, e: Error) {
         self.connection = None;
         if self.current.take().is_some() {
--- a/crates/sablepass-edge/src/client.rs
+++ b/crates/sablepass-edge/src/client.rs
@@ -205,14 +205,14 @@
     }
 
     /// Sends a request. The previous exchange must have ended.
-    pub fn send(&mut self, cx: CX![], it: Outgoing) {
+    pub fn send(&mut self, cx: CX![], request: Outgoing) {
         self.sent = false;
         self.skipping = false;
-        self.echo = it.echo.and_then(|name| {
-            let value = it.head.headers().get(&name)?.clone();
+        self.echo = request.echo.and_then(|name| {
+            let value = request.head.headers().get(&name)?.clone();
             Some((name, value))
         });
-        match encode(it.head, &it.body, &mut self.tcp.out) {
+        match encode(request.head, &request.body, &mut self.tcp.out) {
             Ok(call) => {
                 self.phase = Phase::Answer(Box::new(call));
                 self.flush(cx);
