--- a/crates/sablepass-edge/src/admin.rs
+++ b/crates/sablepass-edge/src/admin.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The operators' HTTP interface of a process: `/metrics`, `/healthz`,
-//! `/readyz`, and queries that the process's main actor answers.
+//! HTTP interface of a process for operators: `/metrics`, `/healthz`, `/readyz`, and queries that
+//! the main actor of the process answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,40 +14,40 @@
 use crate::server::{self, Incoming, Limits, Server};
 use crate::telemetry::Metrics;
 
-/// A question to the main actor.
+/// A query to the main actor.
 #[derive(Debug)]
 pub struct Query {
-    /// What is asked.
+    /// Subject of the query.
     pub ask: Ask,
-    /// Where the answer goes.
+    /// Sender of the answer.
     pub reply: Asker,
 }
 
-/// What may be asked.
+/// Subject of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// Is the process ready for work?
+    /// Readiness of the process.
     Ready,
-    /// What is desired, accepted and in force?
+    /// Desired, accepted and effective configuration.
     Status,
-    /// What became of a request?
+    /// Trace of the request with this id.
     Request(String),
-    /// How does a group stand?
+    /// State of the group with this name.
     Group(String),
 }
 
-/// Who waits for an answer.
+/// Sender of the answer to one query.
 #[derive(Clone, Debug)]
 pub struct Asker(server::Reply);
 
 impl Asker {
-    /// Answers. An asker that is gone is not told.
-    pub fn send(&self, it: Reply) {
-        answer(&self.0, it.status, "application/json", it.json.into_bytes());
+    /// Sends the answer. It is dropped if the caller has disconnected.
+    pub fn send(&self, reply: Reply) {
+        send_response(&self.0, reply.status, "application/json", reply.json.into_bytes());
     }
 }
 
-/// An answer: HTTP status and JSON text.
+/// An answer to a query.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
@@ -57,26 +57,26 @@
 }
 
 impl Reply {
-    /// An answer with status 200.
+    /// Creates an answer with status 200.
     pub fn ok(value: &serde_json::Value) -> Self {
         Self { status: 200, json: value.to_string() }
     }
 
-    /// An answer that says what is missing.
+    /// Creates an answer with status 404 that names the unknown item.
     pub fn missing(what: &str) -> Self {
         let json = serde_json::json!({ "error": "unknown", "what": what });
         Self { status: 404, json: json.to_string() }
     }
 }
 
-/// The actor.
+/// Actor that serves the interface.
 pub struct Admin {
     metrics: Arc<Metrics>,
     queries: Fwd<Query>,
     _server: ActorOwn<Server>,
 }
 
-/// Opens the interface. Returns its address and the actor that serves it.
+/// Starts the interface. Returns its address and the actor that serves it.
 pub fn spawn(
     s: &mut Stakker,
     addr: SocketAddr,
@@ -105,24 +105,29 @@
 
     fn event(&mut self, _cx: CX![], event: server::Event) {
         match event {
-            server::Event::Request(it) => self.request(*it),
-            // Answers are short and written at once.
+            server::Event::Request(request) => self.request(*request),
+            // Answers are short and written at once, so flow control is not needed.
             server::Event::Gone(_) | server::Event::Full(_) | server::Event::Drained(_) => {}
         }
     }
 
-    fn request(&self, it: Incoming) {
-        let Ok(head) = it.head else {
-            answer(&it.reply, 400, "text/plain", b"not understood\n".to_vec());
+    fn request(&self, request: Incoming) {
+        let Ok(head) = request.head else {
+            send_response(&request.reply, 400, "text/plain", b"not understood\n".to_vec());
             return;
         };
         let ask = match (head.uri().path(), head.uri().query()) {
             ("/metrics", _) => {
-                answer(&it.reply, 200, "text/plain; version=0.0.4", self.metrics.render());
+                send_response(
+                    &request.reply,
+                    200,
+                    "text/plain; version=0.0.4",
+                    self.metrics.render(),
+                );
                 return;
             }
             ("/healthz", _) => {
-                answer(&it.reply, 200, "text/plain", b"ok\n".to_vec());
+                send_response(&request.reply, 200, "text/plain", b"ok\n".to_vec());
                 return;
             }
             ("/readyz" | READY_PATH, _) => Ask::Ready,
@@ -130,15 +135,15 @@
             ("/explain/request", Some(id)) => Ask::Request(id.to_owned()),
             ("/explain/group", Some(name)) => Ask::Group(name.to_owned()),
             _ => {
-                answer(&it.reply, 404, "text/plain", b"unknown path\n".to_vec());
+                send_response(&request.reply, 404, "text/plain", b"unknown path\n".to_vec());
                 return;
             }
         };
-        self.queries.fwd(Query { ask, reply: Asker(it.reply) });
+        self.queries.fwd(Query { ask, reply: Asker(request.reply) });
     }
 }
 
-fn answer(to: &server::Reply, status: u16, content_type: &'static str, body: Vec<u8>) {
+fn send_response(to: &server::Reply, status: u16, content_type: &'static str, body: Vec<u8>) {
     let mut head = http::Response::new(());
     *head.status_mut() =
         http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
