--- a/crates/sablepass-edge/src/cli.rs
+++ b/crates/sablepass-edge/src/cli.rs
@@ -1,14 +1,14 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Command-line parts that every program has.
+//! Command line that all daemons share.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// A program that is started with a settings file.
+/// Builds the command line of a daemon with a settings file.
 pub fn daemon(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
@@ -29,17 +29,17 @@
         )
 }
 
-/// The settings file given.
+/// Path of the settings file.
 pub fn config(matches: &ArgMatches) -> PathBuf {
     matches.get_one::<PathBuf>("config").cloned().unwrap_or_default()
 }
 
-/// Whether only a check is asked for.
+/// Whether `--check` was given.
 pub fn check_only(matches: &ArgMatches) -> bool {
     matches.get_flag("check")
 }
 
-/// Ends a program: 0, or 1 with the error and its causes on standard error.
+/// Maps a result to an exit code: 0, or 1 after printing the error to standard error.
 pub fn exit<E: std::error::Error>(name: &str, result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/sablepass-edge/src/daemon.rs
+++ b/crates/sablepass-edge/src/daemon.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What entry and agent do alike when they start.
+//! Startup that the entry and the agent share.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,42 +19,42 @@
 use crate::telemetry::{self, Metrics};
 use crate::{cli, log, runtime, server};
 
-/// Why a daemon ended before it was told to.
+/// Error that ends a daemon.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Its settings cannot be used.
+    /// The settings could not be used.
     #[snafu(transparent)]
     Settings {
-        /// Why.
+        /// Underlying error.
         source: settings::Error,
     },
-    /// Its event loop failed.
+    /// The event loop failed.
     #[snafu(transparent)]
     Runtime {
-        /// Why.
+        /// Underlying error.
         source: runtime::Error,
     },
-    /// Other processes cannot connect to it.
+    /// The mesh could not be opened, so that other processes cannot connect.
     #[snafu(transparent)]
     Mesh {
-        /// Why.
+        /// Underlying error.
         source: mesh::Error,
     },
-    /// One of its HTTP servers cannot be opened.
+    /// An HTTP server could not be opened.
     #[snafu(transparent)]
     Server {
-        /// Why.
+        /// Underlying error.
         source: server::Error,
     },
-    /// Its metrics cannot be set up.
+    /// The metrics could not be set up.
     #[snafu(transparent)]
     Telemetry {
-        /// Why.
+        /// Underlying error.
         source: telemetry::Error,
     },
 }
 
-/// Reads the command line and settings, and runs, unless only a check is asked for.
+/// Reads the command line and the settings, and calls `run` unless `--check` is given.
 pub fn main<T: Settings>(
     name: &'static str,
     about: &'static str,
@@ -78,21 +78,21 @@
     run(settings, file)
 }
 
-/// What every daemon has before its actors start.
+/// Resources that every daemon opens before its actors start.
 pub struct Base {
-    /// Log.
+    /// Logger of the process.
     pub log: Logger,
-    /// Metrics.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Who it is.
+    /// Identity of the process.
     pub me: Identity,
-    /// Where other processes connect to.
+    /// Address on which other processes connect.
     pub peers: SocketAddr,
     listener: TcpListener,
 }
 
 impl Base {
-    /// Opens log, metrics and the listener for other processes.
+    /// Opens the log, the metrics and the listening socket for other processes.
     pub fn open(node: &Node, role: Role) -> Result<Self, Error> {
         let listener = mesh::listen(node.listen)?;
         Ok(Self {
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Spawns the mesh, whose events go to the daemon's main actor.
+    /// Spawns the mesh, which sends its events to `events`.
     pub fn spawn_mesh(self, s: &mut Stakker, events: Fwd<mesh::Event>) -> ActorOwn<Mesh> {
         let mesh = actor_new!(s, Mesh, ret_shutdown!(s));
         call!([mesh], Mesh::init(self.me, self.log, self.metrics, events, self.listener));
