--- a/crates/sablepass-edge/src/instance.rs
+++ b/crates/sablepass-edge/src/instance.rs
@@ -9,27 +9,27 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Why a line cannot be used.
+/// Error of parsing a line.
 #[derive(Debug, Snafu)]
 #[snafu(display("instance: {source}"))]
 pub struct Error {
     source: serde_json::Error,
 }
 
-/// What an instance does.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests from callers.
     Entry,
-    /// Stands beside a target.
+    /// Runs beside a target.
     Agent,
-    /// Takes requests straight from entries.
+    /// Accepts requests directly from entries, without an agent.
     Target,
 }
 
 impl Role {
-    /// The name by which processes introduce themselves.
+    /// Name of the role in the `Hello` message.
     pub fn name(self) -> &'static str {
         match self {
             Self::Entry => "entry",
@@ -39,29 +39,29 @@
     }
 }
 
-/// A line of the instance list. Its key is the instance's name; an agent's is
-/// its target's qualified name.
+/// A line of the instance list. Its key is the instance's name; the name of an agent is the
+/// qualified name of its target.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Instance {
-    /// What it does.
+    /// Role of the instance.
     pub role: Role,
-    /// Its hall.
+    /// Data hall of the instance.
     pub hall: String,
-    /// Where others connect to: processes of ours, or callers of a target.
+    /// Address for connections: from other processes of the system, or from callers of a target.
     pub addr: SocketAddr,
-    /// It is leaving.
+    /// Whether the instance is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// The service that a target answers for.
+    /// Service that a target serves.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub serves: String,
-    /// Requests that a target works on at once.
+    /// Maximum number of concurrent requests at a target.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub capacity: u32,
-    /// When this life of a target began; 0 if it does not say.
+    /// Start time of this incarnation of a target; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_none")]
     pub born: u64,
-    /// Revision of the list that says so. Not part of the line.
+    /// Revision of the instance list that contains this line. Not part of the line itself.
     #[serde(skip)]
     pub revision: Revision,
 }
@@ -77,14 +77,14 @@
 }
 
 impl Instance {
-    /// Reads a line.
+    /// Parses a line.
     pub fn parse(text: &str) -> Result<Self, Error> {
         serde_json::from_str(text).map_err(|source| Error { source })
     }
 
-    /// The line's text.
+    /// The text of the line.
     pub fn text(&self) -> String {
-        // These fields always serialize.
+        // Serialization of these fields cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
--- a/crates/sablepass-edge/src/lib.rs
+++ b/crates/sablepass-edge/src/lib.rs
@@ -1,10 +1,11 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Edges that the programs of sablepass share.
+//! I/O that the programs of sablepass share: event loop, connections, HTTP, settings, logs and
+//! metrics.
 //!
-//! Invariant: nothing here decides anything about requests, configuration or
-//! membership; it moves bytes and asks `sablepass-core`.
+//! Invariant: this crate makes no decisions about requests, configuration or membership. It
+//! transfers data and calls `sablepass-core` for decisions.
 
 pub mod admin;
 pub mod caller;
