--- a/crates/sablepass-edge/src/log.rs
+++ b/crates/sablepass-edge/src/log.rs
@@ -1,13 +1,11 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The log of a process: lines on standard output, bounded in number, written
-//! by a thread of their own so that a reader who is slow or gone never blocks
-//! the event loop.
+//! The log of a process: lines on standard output, limited in rate, and written by a separate
+//! thread so that a slow or closed reader never blocks the event loop.
 //!
-//! Lines that tell of something unusual go before those of the usual course:
-//! when lines are short, these are dropped first. What is dropped is counted,
-//! and the next line says how many.
+//! Warnings and errors have priority over other lines: when the rate limit is reached, lines of
+//! lower levels are dropped first. Dropped lines are counted, and the next line reports the count.
 
 use std::io;
 use std::sync::{Mutex, PoisonError};
@@ -19,12 +17,12 @@
 use crate::instance::Role;
 use crate::settings::{LogFormat, Node};
 
-/// Lines that wait for the writing thread at most; beyond it they are dropped.
-const QUEUE: usize = 2_048;
-/// Seconds' worth of lines that may come at once.
-const BURST: f64 = 4.0;
-/// Part of the lines that only unusual ones may use.
-const RESERVE: f64 = 0.25;
+/// Maximum number of lines that wait for the writing thread; lines beyond it are dropped.
+const QUEUE_LINES: usize = 2_048;
+/// Size of the largest burst, as seconds of the allowed rate.
+const BURST_SECONDS: f64 = 4.0;
+/// Fraction of the burst that is reserved for warnings and errors.
+const RESERVED_FRACTION: f64 = 0.25;
 
 /// Opens the log of a process.
 pub fn open(node: &Node, role: Role) -> Logger {
@@ -46,66 +44,68 @@
             spawn(slog_term::FullFormat::new(decorator).build().ignore_res(), node.log_rate)
         }
     };
-    let life: u32 = rand::random();
-    let life = format!("{life:08x}");
+    let run_id: u32 = rand::random();
+    let run_id = format!("{run_id:08x}");
     Logger::root(
         drain,
-        slog::o!("process" => node.name.clone(), "role" => role.name(), "life" => life),
+        slog::o!("process" => node.name.clone(), "role" => role.name(), "life" => run_id),
     )
 }
 
-fn spawn<D>(drain: D, rate: u32) -> slog::Fuse<Limited<slog_async::Async>>
+fn spawn<D>(drain: D, rate: u32) -> slog::Fuse<RateLimited<slog_async::Async>>
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
     let writer = slog_async::Async::new(drain)
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build();
-    Limited::open(writer, rate).fuse()
+    RateLimited::open(writer, rate).fuse()
 }
 
-/// Lines left, and lines dropped since one said so.
+/// Token bucket of the rate limit, and the number of lines dropped since the last report.
 struct Bucket {
-    lines: f64,
-    filled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
     dropped: u64,
 }
 
-/// Bounds the lines a second.
-struct Limited<D> {
+/// Limits the rate of log lines.
+struct RateLimited<D> {
     inner: D,
     rate: f64,
     bucket: Mutex<Bucket>,
 }
 
-impl<D> Limited<D> {
+impl<D> RateLimited<D> {
     fn open(inner: D, rate: u32) -> Self {
         let rate = f64::from(rate);
-        let bucket = Bucket { lines: rate * BURST, filled: Instant::now(), dropped: 0 };
+        let bucket =
+            Bucket { tokens: rate * BURST_SECONDS, refilled_at: Instant::now(), dropped: 0 };
         Self { inner, rate, bucket: Mutex::new(bucket) }
     }
 
-    /// Takes a line; how many were dropped before it, or none if it is itself.
+    /// Takes a token for a line. Returns the number of lines dropped before it, or `None` if the
+    /// line is dropped.
     fn take(&self, level: Level) -> Option<u64> {
         let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let gained = now.duration_since(bucket.filled).min(Duration::from_secs(60));
-        bucket.filled = now;
-        let most = self.rate * BURST;
-        bucket.lines = (bucket.lines + gained.as_secs_f64() * self.rate).min(most);
-        let unusual = level.is_at_least(Level::Warning);
-        let least = if unusual { 1.0 } else { 1.0 + most * RESERVE };
-        if bucket.lines < least {
+        let elapsed = now.duration_since(bucket.refilled_at).min(Duration::from_secs(60));
+        bucket.refilled_at = now;
+        let capacity = self.rate * BURST_SECONDS;
+        bucket.tokens = (bucket.tokens + elapsed.as_secs_f64() * self.rate).min(capacity);
+        let is_important = level.is_at_least(Level::Warning);
+        let required = if is_important { 1.0 } else { 1.0 + capacity * RESERVED_FRACTION };
+        if bucket.tokens < required {
             bucket.dropped += 1;
             return None;
         }
-        bucket.lines -= 1.0;
+        bucket.tokens -= 1.0;
         Some(std::mem::take(&mut bucket.dropped))
     }
 }
 
-impl<D: Drain<Ok = ()>> Drain for Limited<D> {
+impl<D: Drain<Ok = ()>> Drain for RateLimited<D> {
     type Ok = ();
     type Err = D::Err;
 
