--- a/crates/sablepass-edge/src/runtime.rs
+++ b/crates/sablepass-edge/src/runtime.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The event loop of a process: one stakker, one mio poll, signals.
+//! The event loop of a process: one `stakker` instance, one `mio` poll, and signals.
 
 use std::time::{Duration, Instant};
 
@@ -13,41 +13,41 @@
 use stakker_mio::MioPoll;
 use stakker_mio::mio::{Events, Poll};
 
-/// Longest sleep of the loop when nothing is due.
-const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Events taken from the poll at once.
-const EVENTS: usize = 1024;
-/// Priority of wake-ups from other threads, as for all other events.
+/// Maximum wait in the poll when no timer is due.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
+/// Maximum number of events per poll.
+const MAX_EVENTS: usize = 1024;
+/// Priority of wake-ups from other threads, equal to that of all other events.
 const PRIORITY: u32 = 10;
 
-/// Why the loop ended before it was told to.
+/// Error that ends the loop.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The poll failed.
     #[snafu(display("event loop: {source}"))]
     Poll {
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// Signals could not be taken.
+    /// The signal handlers could not be installed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
 }
 
-/// A signal arrived.
+/// A signal to the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// The process shall stop.
+    /// Request to shut down.
     Stop,
-    /// Its settings have changed.
+    /// Request to reload the settings.
     Reload,
 }
 
-/// Runs a loop until an actor shuts it down. `build` spawns the actors; what
-/// it returns is kept until the end.
+/// Runs the event loop until an actor shuts it down. `build` spawns the actors; its return value is
+/// kept until the end.
 pub fn run<T, E>(build: impl FnOnce(&mut Stakker) -> Result<T, E>) -> Result<(), E>
 where
     E: From<Error>,
@@ -55,13 +55,14 @@
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
     let poll = Poll::new().context(PollSnafu)?;
-    let poll = MioPoll::new(s, poll, Events::with_capacity(EVENTS), PRIORITY).context(PollSnafu)?;
+    let poll =
+        MioPoll::new(s, poll, Events::with_capacity(MAX_EVENTS), PRIORITY).context(PollSnafu)?;
     s.anymap_set(poll.clone());
     let kept = build(s)?;
     let mut idle = s.run(Instant::now(), false);
     let mut pending = false;
     while s.not_shutdown() {
-        let wait = s.next_wait_max(Instant::now(), MAX_WAIT, idle || pending);
+        let wait = s.next_wait_max(Instant::now(), MAX_POLL_WAIT, idle || pending);
         let (activity, more) = poll.poll(wait).context(PollSnafu)?;
         pending = more;
         idle = s.run(Instant::now(), !activity);
@@ -70,7 +71,8 @@
     Ok(())
 }
 
-/// Forwards signals to an actor: SIGTERM and SIGINT stop, SIGHUP reloads.
+/// Forwards signals to an actor: SIGTERM and SIGINT as [`Signal::Stop`], SIGHUP as
+/// [`Signal::Reload`].
 pub fn signals(s: &mut Stakker, to: Fwd<Signal>) -> Result<stakker::sync::ChannelGuard, Error> {
     let (channel, guard) = Channel::new(s, to);
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context(SignalsSnafu)?;
