--- a/crates/sablepass-edge/src/settings.rs
+++ b/crates/sablepass-edge/src/settings.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reading settings files, and the settings that programs share.
+//! Reads settings files, and defines the settings that programs share.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -12,47 +12,47 @@
 
 use crate::reader::Form;
 
-/// Why settings cannot be used.
+/// Error of reading settings.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// The file is not TOML of the expected shape.
+    /// The file is not TOML of the expected structure.
     #[snafu(display("{}: {source}", file.display()))]
     Parse {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Key, value and place.
+        /// Underlying error, which names the key and the position.
         source: toml::de::Error,
     },
-    /// A value is outside its range.
+    /// A value is outside its allowed range.
     #[snafu(display("{}: {key} = {value}; allowed is {allowed}", file.display()))]
     Range {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The key.
+        /// Key of the value.
         key: &'static str,
-        /// The value given.
+        /// The value in the file.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
 }
 
-/// Where a value was checked, for its error.
+/// Context of a range check, for its error.
 #[derive(Debug)]
 pub struct Checker<'a> {
     file: &'a Path,
 }
 
 impl Checker<'_> {
-    /// Refuses a value that does not fit.
+    /// Returns an error if `fits` is false.
     pub fn fits(
         &self,
         key: &'static str,
@@ -67,13 +67,13 @@
     }
 }
 
-/// Settings that check their own ranges.
+/// Settings that validate their own values.
 pub trait Settings: DeserializeOwned {
-    /// Refuses values outside their ranges.
+    /// Returns an error if a value is outside its allowed range.
     fn check(&self, checker: &Checker<'_>) -> Result<(), Error>;
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn open<T: Settings>(file: &Path) -> Result<T, Error> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     let settings: T = toml::from_str(&text).context(ParseSnafu { file })?;
@@ -81,7 +81,7 @@
     Ok(settings)
 }
 
-/// Settings of logs.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
@@ -92,49 +92,52 @@
     Terminal,
 }
 
-/// Settings of the process as one of many.
+/// Settings of a process as a node of the system.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Unique name. An agent's is the qualified name of its target.
+    /// Unique name. The name of an agent is the qualified name of its target.
     pub name: String,
     /// Data hall.
     pub hall: String,
-    /// Where other processes connect to.
+    /// Address on which other processes connect.
     pub listen: SocketAddr,
-    /// Where metrics, health and status are served.
+    /// Address of the HTTP interface for metrics, health and status.
     pub admin: SocketAddr,
-    /// Base URL of the platform's configuration service, by IP address.
+    /// Base URL of the platform's configuration service, with an IP address as the host.
     pub platform: String,
-    /// How the platform's services are read.
+    /// Protocol by which the platform's services are read.
     #[serde(default)]
     pub form: Form,
-    /// Base URL of the platform's instance list; the same service by default.
+    /// Base URL of the platform's instance list. Defaults to `platform`.
     #[serde(default)]
     pub instances: Option<String>,
-    /// Addresses of processes to ask when the instance list does not answer.
+    /// Addresses of processes to connect to while the instance list names no entry.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Least milliseconds between two reads of the instance list by a reader. Default 5,000.
+    /// Minimum time between two reads of the instance list by a reader, in milliseconds. Default
+    /// 5,000.
     #[serde(default = "default_list_every")]
     pub list_every: u64,
-    /// Milliseconds between two digests on a connection. Default 1,000.
+    /// Interval between two digests on a connection, in milliseconds. Default 1,000.
     #[serde(default = "default_digest_every")]
     pub digest_every: u64,
-    /// Milliseconds that each substitute reader waits longer. Default 3,000.
+    /// Additional delay of each further substitute reader before it takes over, in milliseconds.
+    /// Default 3,000.
     #[serde(default = "default_patience")]
     pub patience: u64,
-    /// Milliseconds that a watch of the service waits. Default 20,000.
+    /// Time for which the service may hold a watch of a reader, in milliseconds. Default 20,000.
     #[serde(default = "default_watch")]
     pub watch: u64,
-    /// Milliseconds that a watch of a process waits which hears of changes from
-    /// others that read. Default 20,000.
+    /// Time for which the service may hold a watch of a process that receives changes from the
+    /// readers, in milliseconds. Default 20,000.
     #[serde(default = "default_watch")]
     pub watch_rest: u64,
-    /// Format of logs.
+    /// Format of log lines.
     #[serde(default)]
     pub log: LogFormat,
-    /// Log lines a second at most, some seconds' worth at once. Default 500.
+    /// Maximum rate of log lines per second. Bursts of some seconds' worth are allowed. Default
+    /// 500.
     #[serde(default = "default_log_rate")]
     pub log_rate: u32,
 }
@@ -164,29 +167,29 @@
         self.instances.as_deref().unwrap_or(&self.platform)
     }
 
-    /// Address of the platform's configuration service. Checked when the
-    /// settings were opened.
+    /// Address of the platform's configuration service. The URL was validated when the settings
+    /// were read.
     pub fn platform_addr(&self) -> SocketAddr {
-        parse_url(&self.platform).unwrap_or(NOWHERE)
+        parse_url(&self.platform).unwrap_or(UNUSED_ADDR)
     }
 
-    /// Address of the instance list.
+    /// Address of the instance list's service.
     pub fn instances_addr(&self) -> SocketAddr {
-        parse_url(self.instances_url()).unwrap_or(NOWHERE)
+        parse_url(self.instances_url()).unwrap_or(UNUSED_ADDR)
     }
 
-    /// Refuses values outside their ranges.
+    /// Returns an error if a value is outside its allowed range.
     pub fn check(&self, checker: &Checker<'_>) -> Result<(), Error> {
         checker.fits("node.name", &self.name, !self.name.is_empty(), "a unique name")?;
         checker.fits("node.hall", &self.hall, !self.hall.is_empty(), "the hall's name")?;
-        let spans = [
+        let durations = [
             ("node.list_every", self.list_every),
             ("node.digest_every", self.digest_every),
             ("node.patience", self.patience),
             ("node.watch", self.watch),
             ("node.watch_rest", self.watch_rest),
         ];
-        for (key, value) in spans {
+        for (key, value) in durations {
             checker.fits(key, value, (20..=600_000).contains(&value), "20 to 600000")?;
         }
         let rate = self.log_rate;
@@ -204,10 +207,10 @@
     }
 }
 
-/// An address on which nothing listens.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Address on which nothing listens, for a URL that does not parse.
+const UNUSED_ADDR: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// The address in a URL of the form `http://IP:PORT`, with or without a slash behind.
+/// Parses a URL of the form `http://IP:PORT`, with or without trailing slashes.
 pub fn parse_url(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.trim_end_matches('/').parse().ok()
 }
