--- a/crates/sablepass-edge/src/unread.rs
+++ b/crates/sablepass-edge/src/unread.rs
@@ -1,8 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Header fields that nobody reads, in answers of targets and of the platform's store. One
-//! may say something that matters, so each is counted by its name and logged once a sender.
+//! Records header fields that this program does not interpret, in answers of targets and of the
+//! platform's store. Such a field may carry important information, so each one is counted by name
+//! and logged once per sender.
 
 use std::collections::BTreeSet;
 
@@ -10,45 +11,45 @@
 
 use crate::telemetry::Metrics;
 
-/// Names that are counted apart, and the label of all others.
-const NAMES: usize = 32;
-const OTHER: &str = "other";
-/// Pairs of a name and a sender that are logged.
-const LOGGED: usize = 1_024;
-/// Longest name that is counted apart.
-const LONGEST: usize = 64;
+/// Maximum number of names with their own label. All other names share [`OTHER_LABEL`].
+const MAX_LABELS: usize = 32;
+const OTHER_LABEL: &str = "other";
+/// Maximum number of logged pairs of name and sender.
+const MAX_LOGGED: usize = 1_024;
+/// Maximum length in bytes of a name with its own label.
+const MAX_LABEL_BYTES: usize = 64;
 
-/// What was met.
+/// The fields seen so far.
 #[derive(Debug, Default)]
 pub struct Unread {
-    names: BTreeSet<String>,
+    labels: BTreeSet<String>,
     logged: BTreeSet<(String, String)>,
 }
 
 impl Unread {
-    /// Takes note of a field of an answer.
+    /// Records a header field of an answer.
     pub fn note(&mut self, log: &Logger, metrics: &Metrics, sender: &str, field: &str) {
         let label = self.label(field);
         metrics.fields_unread.with_label_values(&[label]).inc();
-        if label != OTHER && self.is_new(field, sender) {
+        if label != OTHER_LABEL && self.is_new(field, sender) {
             slog::warn!(log, "field of an answer unread"; "field" => field, "target" => sender);
         }
     }
 
-    /// The label under which a field is counted.
+    /// Returns the metric label for a field.
     fn label<'a>(&mut self, field: &'a str) -> &'a str {
-        let known = self.names.contains(field);
-        if !known && (self.names.len() >= NAMES || field.len() > LONGEST) {
-            return OTHER;
+        let known = self.labels.contains(field);
+        if !known && (self.labels.len() >= MAX_LABELS || field.len() > MAX_LABEL_BYTES) {
+            return OTHER_LABEL;
         }
         if !known {
-            self.names.insert(field.to_owned());
+            self.labels.insert(field.to_owned());
         }
         field
     }
 
-    /// Whether a field of a sender is met for the first time.
+    /// Whether this field of this sender is logged for the first time.
     fn is_new(&mut self, field: &str, sender: &str) -> bool {
-        self.logged.len() < LOGGED && self.logged.insert((field.to_owned(), sender.to_owned()))
+        self.logged.len() < MAX_LOGGED && self.logged.insert((field.to_owned(), sender.to_owned()))
     }
 }
