--- a/crates/sablepass-agent/src/member.rs
+++ b/crates/sablepass-agent/src/member.rs
@@ -8,7 +8,7 @@
 use sablepass_core::declaration;
 use sablepass_core::reason::Ignored;
 use sablepass_edge::clock;
-use sablepass_edge::mesh::{PeerKey, Wanted};
+use sablepass_edge::mesh::{PeerKey, RequiredPeer};
 use sablepass_wire::generated as wire;
 use stakker::{CX, call};
 
@@ -39,8 +39,8 @@
                 for (peer, name) in &self.agents {
                     group.up(name, *peer);
                 }
-                let wanted = group.peers().into_iter().map(Wanted::Named).collect();
-                call!([self.mesh], want(wanted));
+                let wanted = group.peers().into_iter().map(RequiredPeer::Named).collect();
+                call!([self.mesh], require_peers(wanted));
                 self.group = Some(group);
             }
             Err(reason) => {
--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -20,7 +20,7 @@
 use sablepass_core::revision::Revision;
 use sablepass_edge::caller::Answer;
 use sablepass_edge::instance::{Instance, Role};
-use sablepass_edge::mesh::{self, Mesh, Wanted};
+use sablepass_edge::mesh::{self, Mesh, RequiredPeer};
 use sablepass_edge::telemetry::Metrics;
 use sablepass_edge::{admin, clock, runtime};
 use sablepass_platform::answer::{self, Limit};
@@ -223,9 +223,9 @@
         let me = self.settings.node.listen;
         // Of two agents one dials.
         let others = targets().filter(|it| it.serves == self.service && it.addr.ip() > me.ip());
-        let wanted = others.map(|it| Wanted::At(SocketAddr::new(it.addr.ip(), me.port())));
-        let wanted: Vec<Wanted> = wanted.collect();
-        call!([self.mesh], want(wanted));
+        let wanted = others.map(|it| RequiredPeer::At(SocketAddr::new(it.addr.ip(), me.port())));
+        let wanted: Vec<RequiredPeer> = wanted.collect();
+        call!([self.mesh], require_peers(wanted));
     }
 
     fn carry_out(&self, list: Vec<Do>) {
--- a/crates/sablepass-edge/src/dial.rs
+++ b/crates/sablepass-edge/src/dial.rs
@@ -14,7 +14,7 @@
 
 use crate::clock;
 use crate::instance::{Instance, Role};
-use crate::mesh::{Mesh, PeerKey, Wanted};
+use crate::mesh::{Mesh, PeerKey, RequiredPeer};
 
 /// Interval between two checks for reads and dial attempts that are due.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
@@ -59,9 +59,9 @@
         };
         let mut chosen: BTreeMap<String, (SocketAddr, Found)> =
             spread.iter().filter_map(listed).collect();
-        chosen.extend(self.wanted.iter().filter_map(|it| match it {
-            Wanted::Named(name) => listed(name),
-            Wanted::At(addr) => Some((it.endpoint(), (*addr, Found::Given))),
+        chosen.extend(self.required.iter().filter_map(|it| match it {
+            RequiredPeer::Named(name) => listed(name),
+            RequiredPeer::At(addr) => Some((it.endpoint(), (*addr, Found::Given))),
         }));
         let is_obsolete = |name: &String, it: &Endpoint| {
             it.found != Found::Seed && chosen.get(name).map(|it| it.0) != Some(it.addr)
--- a/crates/sablepass-edge/src/mesh.rs
+++ b/crates/sablepass-edge/src/mesh.rs
@@ -85,14 +85,14 @@
 
 /// A process to which the owner requires a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wanted {
+pub enum RequiredPeer {
     /// The instance with this name in the instance list.
     Named(String),
     /// The process at this address; its name is not checked.
     At(SocketAddr),
 }
 
-impl Wanted {
+impl RequiredPeer {
     /// Name of the endpoint, as in [`Introduction::dialled`].
     pub fn endpoint(&self) -> String {
         match self {
@@ -187,7 +187,7 @@
     /// Whether the set of connected entries has changed since it was last sent to peers.
     entries_changed: bool,
     pub(crate) endpoints: BTreeMap<String, Endpoint>,
-    pub(crate) wanted: Vec<Wanted>,
+    pub(crate) required: Vec<RequiredPeer>,
     pub(crate) spread: Spread,
     ticks: u64,
 }
@@ -228,7 +228,7 @@
             next_peer: 0,
             entries_changed: false,
             endpoints: BTreeMap::new(),
-            wanted: Vec::new(),
+            required: Vec::new(),
             spread,
             ticks: 0,
             node,
@@ -239,11 +239,11 @@
     }
 
     /// Sets the processes to which the owner requires connections.
-    pub fn want(&mut self, cx: CX![], mut wanted: Vec<Wanted>) {
-        wanted.sort();
-        wanted.dedup();
-        if wanted != self.wanted {
-            self.wanted = wanted;
+    pub fn require_peers(&mut self, cx: CX![], mut required: Vec<RequiredPeer>) {
+        required.sort();
+        required.dedup();
+        if required != self.required {
+            self.required = required;
             self.update_endpoints(cx);
         }
     }
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -100,7 +100,7 @@
 
     pub(crate) fn want(&mut self, _cx: CX![]) {
         let wanted = self.targets.wanted(clock::now());
-        call!([self.mesh], want(wanted));
+        call!([self.mesh], require_peers(wanted));
     }
 
     fn up(&mut self, cx: CX![], peer: PeerKey, it: &Introduction) {
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -25,7 +25,7 @@
 use sablepass_core::rendezvous;
 use sablepass_core::sharers::Sharers;
 use sablepass_edge::instance::Instance;
-use sablepass_edge::mesh::{PeerKey, Wanted};
+use sablepass_edge::mesh::{PeerKey, RequiredPeer};
 
 /// How long a connection made for one key's owner is kept.
 const OWNER_KEEP: Millis = 60_000;
@@ -207,11 +207,11 @@
 
     /// The processes to be connected to: agents of declared targets, and those
     /// beside listed ones that are ranks of a group.
-    pub fn wanted(&mut self, now: Millis) -> Vec<Wanted> {
+    pub fn wanted(&mut self, now: Millis) -> Vec<RequiredPeer> {
         self.owners.retain(|_, until| *until > now);
         let declared = self.subsets.values().flatten().chain(self.owners.keys());
         let declared = declared.filter(|it| self.catalogue.targets.contains_key(*it));
-        let mut wanted: Vec<Wanted> = declared.cloned().map(Wanted::Named).collect();
+        let mut wanted: Vec<RequiredPeer> = declared.cloned().map(RequiredPeer::Named).collect();
         let engine = |it: &&Listed| {
             let service = self.catalogue.services.get(&it.instance.serves);
             service.is_some_and(|it| it.engine.is_some())
@@ -219,7 +219,7 @@
         let beside = |port| {
             let ips = self.listed.values().filter(engine).map(|it| it.instance.addr.ip());
             let ips: BTreeSet<IpAddr> = ips.collect();
-            ips.into_iter().map(move |ip| Wanted::At(SocketAddr::new(ip, port)))
+            ips.into_iter().map(move |ip| RequiredPeer::At(SocketAddr::new(ip, port)))
         };
         wanted.extend(self.options.agent_port.map(beside).into_iter().flatten());
         wanted
