--- a/crates/sablepass-edge/src/mesh.rs
+++ b/crates/sablepass-edge/src/mesh.rs
@@ -128,9 +128,9 @@
     pub revision: Revision,
     /// The earliest revision of the list's current era at which any process read the list. Lines
     /// with a later revision do not come from a restored backup.
-    pub began: Revision,
+    pub first_read: Revision,
     /// Time at which the list's service last recovered from an outage; 0 if it had none.
-    pub back: Millis,
+    pub recovered_at: Millis,
 }
 
 /// Identity of this process.
--- a/crates/sablepass-edge/src/mesh/held.rs
+++ b/crates/sablepass-edge/src/mesh/held.rs
@@ -113,8 +113,8 @@
                 let listing = Listing {
                     instances: self.spread.instances().clone(),
                     revision: self.spread.list_revision(),
-                    began: self.spread.list_first_read(),
-                    back: self.spread.recovered_at(),
+                    first_read: self.spread.list_first_read(),
+                    recovered_at: self.spread.recovered_at(),
                 };
                 self.owner.fwd(Event::Instances(listing));
                 self.update_endpoints(cx);
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -80,7 +80,7 @@
 
     /// Takes a new instance list.
     pub fn list(&mut self, now: Millis, list: &Listing) -> Changes {
-        let Listing { instances, revision, began, back } = list;
+        let Listing { instances, revision, first_read, recovered_at } = list;
         let era = revision.era;
         let before = std::mem::replace(&mut self.era, era);
         let mut changes = Changes::default();
@@ -88,7 +88,7 @@
             self.restored = now;
             changes.restored = true;
         }
-        let back = self.restored.max(*back);
+        let back = self.restored.max(*recovered_at);
         let first = self.learning.is_none();
         if !instances.is_empty() {
             self.learning.get_or_insert(now);
@@ -98,7 +98,7 @@
         let leaving = instances.iter().filter(|(_, it)| it.leaving);
         self.leaving = leaving.map(|(name, _)| name.clone()).collect();
         for (name, it) in instances.iter().filter(|(_, it)| it.role == Role::Target) {
-            if self.is_former(name, it, *began) {
+            if self.is_former(name, it, *first_read) {
                 continue;
             }
             if self.listed.get(name).is_some_and(|known| known.instance.born != it.born) {
@@ -122,8 +122,9 @@
                 changes.found.push(name.clone());
             }
         }
-        let is_there =
-            |name: &String| instances.get(name).is_some_and(|it| !self.is_former(name, it, *began));
+        let is_there = |name: &String| {
+            instances.get(name).is_some_and(|it| !self.is_former(name, it, *first_read))
+        };
         let missing: Vec<String> = self.listed.keys().filter(|it| !is_there(it)).cloned().collect();
         for name in missing {
             if let Some(it) = self.listed.get_mut(&name).filter(|it| it.missing.is_none()) {
