--- a/crates/sablepass-edge/src/client.rs
+++ b/crates/sablepass-edge/src/client.rs
@@ -98,7 +98,7 @@
         /// Whether the connection can carry another request.
         reusable: bool,
         /// Time for which the peer keeps the idle connection, if the response gave one.
-        rest: Option<Duration>,
+        keep_alive: Option<Duration>,
     },
     /// The connection has ended; no event follows.
     Closed {
@@ -304,7 +304,7 @@
             _ => false,
         };
         if unsized_body && !self.skipping {
-            self.owner.fwd(Event::End { reusable: false, rest: None });
+            self.owner.fwd(Event::End { reusable: false, keep_alive: None });
             self.phase = Phase::Idle;
         }
         self.close(cx, Cause::Closed);
@@ -412,7 +412,7 @@
         }
         let is_clean = self.tcp.rd == self.tcp.wr && self.tcp.out.is_empty() && !self.input_closed;
         let reusable = !must_close && is_clean;
-        self.owner.fwd(Event::End { reusable, rest: self.keep_alive });
+        self.owner.fwd(Event::End { reusable, keep_alive: self.keep_alive });
         self.phase = Phase::Idle;
         Ok(())
     }
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -67,12 +67,12 @@
                 let (id, attempt) = (carried.request, carried.attempt);
                 self.event(cx, id, attempt, Event::Chunk { offset, data });
             }
-            client::Event::End { reusable, rest } => {
+            client::Event::End { reusable, keep_alive } => {
                 let now = clock::now();
                 let carried = self.pool.carried(key).copied();
                 let leaves = self.pool.target(key).is_some_and(|it| self.targets.has_left(now, it));
                 if reusable && !leaves {
-                    self.pool.rest(now, key, rest);
+                    self.pool.rest(now, key, keep_alive);
                 } else {
                     self.pool.close(key);
                 }
