--- a/crates/sablepass-edge/src/client.rs
+++ b/crates/sablepass-edge/src/client.rs
@@ -48,7 +48,7 @@
     },
     /// The connection was not established in time.
     #[snafu(display("connect: timed out"))]
-    ConnectTime,
+    ConnectTimeout,
     /// The peer closed the connection.
     #[snafu(display("connection closed by the peer"))]
     Closed,
@@ -66,10 +66,10 @@
     },
     /// The response lacks the header field of [`Outgoing::echo`].
     #[snafu(display("response lacks the header field that identifies the request"))]
-    Nameless,
+    MissingEcho,
     /// Data arrived while no response was pending.
     #[snafu(display("data received while no response was pending"))]
-    Unasked,
+    UnexpectedData,
 }
 
 impl Cause {
@@ -79,7 +79,7 @@
     }
 
     /// Whether an established connection was ended by the peer or by the network.
-    pub fn is_end(&self) -> bool {
+    pub fn is_disconnect(&self) -> bool {
         matches!(self, Self::Closed | Self::Socket { .. })
     }
 }
@@ -231,7 +231,7 @@
 
     fn check_connected(&mut self, cx: CX![]) {
         if !self.connected {
-            self.close(cx, Cause::ConnectTime);
+            self.close(cx, Cause::ConnectTimeout);
         }
     }
 
@@ -325,7 +325,7 @@
     }
 
     fn take_idle(&self) -> Result<(), Cause> {
-        if self.tcp.rd == self.tcp.wr { Ok(()) } else { Err(Cause::Unasked) }
+        if self.tcp.rd == self.tcp.wr { Ok(()) } else { Err(Cause::UnexpectedData) }
     }
 
     fn take_head(&mut self) -> Result<bool, Cause> {
@@ -362,7 +362,7 @@
         let Some((name, value)) = &self.echo else { return Ok(false) };
         match response.headers().get(name) {
             Some(it) => Ok(it != value),
-            None => Err(Cause::Nameless),
+            None => Err(Cause::MissingEcho),
         }
     }
 
--- a/crates/sablepass-edge/src/link.rs
+++ b/crates/sablepass-edge/src/link.rs
@@ -38,7 +38,7 @@
 pub enum Cause {
     /// The peer closed the connection.
     #[snafu(display("connection closed by the peer"))]
-    End,
+    Closed,
     /// The socket failed.
     #[snafu(display("socket: {source}"))]
     Socket {
@@ -53,7 +53,7 @@
     },
     /// The connection was not established in time.
     #[snafu(display("connect: timed out"))]
-    ConnectTime,
+    ConnectTimeout,
     /// The send buffer is full because the peer does not read.
     #[snafu(display("send buffer is full: the peer does not read"))]
     Stuck,
@@ -125,7 +125,7 @@
 
     fn check_connected(&mut self, cx: CX![]) {
         if !self.connected {
-            self.close(cx, Cause::ConnectTime);
+            self.close(cx, Cause::ConnectTimeout);
         }
     }
 
@@ -153,7 +153,7 @@
                     Err(source) => Cause::Frame { source },
                 },
                 ReadStatus::WouldBlock => return,
-                ReadStatus::EndOfStream => Cause::End,
+                ReadStatus::EndOfStream => Cause::Closed,
                 ReadStatus::Error(source) => Cause::Socket { source },
             };
             self.close(cx, cause);
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -218,7 +218,7 @@
                 "attempt" => carried.attempt, "sent" => sent, "bytes" => carried.offset,
                 "fingerprint" => %open.fingerprint(), "cause" => %cause);
         }
-        if sent && cause.is_end() {
+        if sent && cause.is_disconnect() {
             self.broke_off(cx, carried.request, &target);
         }
         let event = if sent {
