--- a/crates/sablepass-edge/src/client.rs
+++ b/crates/sablepass-edge/src/client.rs
@@ -125,11 +125,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Time to establish the connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Time for which sent data may stay unacknowledged before the kernel ends the connection.
-    pub unacked: Duration,
+    pub unacked_timeout: Duration,
     /// Idle time before keep-alive probes start, and their interval.
-    pub probe: Duration,
+    pub probe_interval: Duration,
 }
 
 impl Default for Options {
@@ -138,9 +138,9 @@
     /// kernel.
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(300),
-            unacked: Duration::from_secs(2),
-            probe: Duration::from_secs(1),
+            connect_timeout: Duration::from_millis(300),
+            unacked_timeout: Duration::from_secs(2),
+            probe_interval: Duration::from_secs(1),
         }
     }
 }
@@ -175,7 +175,9 @@
         let ready = fwd_to!([cx], ready() as (Ready));
         let interest = Interest::READABLE | Interest::WRITABLE;
         let source = TcpStream::connect(addr)
-            .and_then(|it| socket::guard(&it, options.unacked, options.probe).map(|()| it))
+            .and_then(|it| {
+                socket::guard(&it, options.unacked_timeout, options.probe_interval).map(|()| it)
+            })
             .and_then(|it| socket::reset_on_close(&it).map(|()| it))
             .and_then(|it| poll.add(it, interest, PRIORITY, ready));
         let source = match source {
@@ -189,7 +191,7 @@
         let mut tcp = TcpStreamBuf::new();
         tcp.init(source);
         tcp.set_nodelay(true);
-        after!(options.connect, [cx], check_connected());
+        after!(options.connect_timeout, [cx], check_connected());
         Some(Self {
             tcp,
             phase: Phase::Idle,
