--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -76,7 +76,7 @@
     /// The service that the target answers for, once it is listed.
     service: String,
     pulses: u64,
-    sleep: clock::Sleep,
+    sleep: clock::SuspensionDetector,
     /// When the entries were last told the load.
     told: Millis,
     /// What they were told of the rank.
@@ -133,7 +133,7 @@
             instances: Rc::default(),
             service: String::new(),
             pulses: 0,
-            sleep: clock::Sleep::default(),
+            sleep: clock::SuspensionDetector::default(),
             told: 0,
             told_state: State::default(),
         };
@@ -242,7 +242,7 @@
     fn pulse(&mut self, cx: CX![]) {
         let now = clock::now();
         self.pulses += 1;
-        if let Some(slept) = self.sleep.look(now) {
+        if let Some(slept) = self.sleep.check(now) {
             self.wake(slept);
         }
         let count = self.pulses.is_multiple_of(COUNT_PULSES);
--- a/crates/sablepass-edge/src/clock.rs
+++ b/crates/sablepass-edge/src/clock.rs
@@ -43,14 +43,14 @@
 
 /// Detects that this process did not run for a while.
 #[derive(Debug, Default)]
-pub struct Sleep {
+pub struct SuspensionDetector {
     last_check: Option<Millis>,
 }
 
-impl Sleep {
+impl SuspensionDetector {
     /// Checks the clock. Returns the length of a suspension if the process has just resumed from
     /// one.
-    pub fn look(&mut self, now: Millis) -> Option<Millis> {
+    pub fn check(&mut self, now: Millis) -> Option<Millis> {
         let before = self.last_check.replace(now)?;
         Some(now.saturating_sub(before)).filter(|it| *it >= MIN_SUSPENSION)
     }
--- a/crates/sablepass-edge/tests/clock.rs
+++ b/crates/sablepass-edge/tests/clock.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use sablepass_edge::clock::{self, Sleep};
+use sablepass_edge::clock::{self, SuspensionDetector};
 
 /// Seconds since the machine was booted, including suspensions.
 fn uptime() -> f64 {
@@ -31,10 +31,10 @@
 
 #[test]
 fn verify_suspension_is_reported_once() {
-    let mut sleep = Sleep::default();
-    assert_eq!(sleep.look(10_000), None, "first check");
-    assert_eq!(sleep.look(10_025), None);
-    assert_eq!(sleep.look(10_600), None, "a scheduling delay is no suspension");
-    assert_eq!(sleep.look(15_600), Some(5_000));
-    assert_eq!(sleep.look(15_625), None);
+    let mut detector = SuspensionDetector::default();
+    assert_eq!(detector.check(10_000), None, "first check");
+    assert_eq!(detector.check(10_025), None);
+    assert_eq!(detector.check(10_600), None, "a scheduling delay is no suspension");
+    assert_eq!(detector.check(15_600), Some(5_000));
+    assert_eq!(detector.check(15_625), None);
 }
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -80,7 +80,7 @@
     pub(crate) server: ActorOwn<Server>,
     pub(crate) stopping: Option<Millis>,
     /// Notices that this process did not run for a while.
-    pub(crate) sleep: clock::Sleep,
+    pub(crate) sleep: clock::SuspensionDetector,
     /// The last answer is written and the process about to end.
     pub(crate) ending: bool,
 }
@@ -120,7 +120,7 @@
             unread: Unread::default(),
             rng: StdRng::seed_from_u64(rand::random()),
             stopping: None,
-            sleep: clock::Sleep::default(),
+            sleep: clock::SuspensionDetector::default(),
             ending: false,
             settings,
             file,
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -18,7 +18,7 @@
 impl Router {
     pub(crate) fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
-        if let Some(slept) = self.sleep.look(now) {
+        if let Some(slept) = self.sleep.check(now) {
             slog::warn!(self.log, "slept"; "for" => slept, "requests" => self.open.len());
             self.metrics.sleeps.inc();
             self.targets.slept(now);
