--- a/crates/sablepass-edge/src/admin.rs
+++ b/crates/sablepass-edge/src/admin.rs
@@ -107,7 +107,9 @@
         match event {
             server::Event::Request(request) => self.request(*request),
             // Answers are short and written at once, so flow control is not needed.
-            server::Event::Gone(_) | server::Event::Full(_) | server::Event::Drained(_) => {}
+            server::Event::Disconnected(_)
+            | server::Event::OutputFull(_)
+            | server::Event::OutputReady(_) => {}
         }
     }
 
--- a/crates/sablepass-edge/src/connection.rs
+++ b/crates/sablepass-edge/src/connection.rs
@@ -213,7 +213,7 @@
             matches!(self.phase, Phase::Waiting(_) | Phase::Gathering(_) | Phase::Sending(_));
         // An answer may be complete here without having reached its caller.
         if unfinished || !self.tcp.out.is_empty() {
-            self.owner.fwd(Event::Gone(self.key));
+            self.owner.fwd(Event::Disconnected(self.key));
         }
         self.close(cx);
     }
@@ -536,10 +536,10 @@
         let left = self.tcp.out.len();
         if left > WRITE_HIGH_WATER && self.blocked_since.is_none() {
             self.blocked_since = Some(Instant::now());
-            self.owner.fwd(Event::Full(self.key));
+            self.owner.fwd(Event::OutputFull(self.key));
         } else if self.blocked_since.is_some() && left < WRITE_LOW_WATER {
             self.blocked_since = None;
-            self.owner.fwd(Event::Drained(self.key));
+            self.owner.fwd(Event::OutputReady(self.key));
         } else if self.blocked_since.is_some() && left < before {
             self.blocked_since = Some(Instant::now());
         }
--- a/crates/sablepass-edge/src/server.rs
+++ b/crates/sablepass-edge/src/server.rs
@@ -84,12 +84,12 @@
     /// A request arrived. The owner must answer it.
     Request(Box<Incoming>),
     /// The caller disconnected; the exchange cannot be answered.
-    Gone(ExchangeKey),
+    Disconnected(ExchangeKey),
     /// The output buffer is full because the caller does not read: the owner should send no more
-    /// parts until [`Event::Drained`].
-    Full(ExchangeKey),
+    /// parts until [`Event::OutputReady`].
+    OutputFull(ExchangeKey),
     /// The output buffer has room again.
-    Drained(ExchangeKey),
+    OutputReady(ExchangeKey),
 }
 
 /// Framing of an answer's body.
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -47,13 +47,13 @@
     pub fn server_event(&mut self, cx: CX![], event: server::Event) {
         match event {
             server::Event::Request(it) => self.request(cx, *it),
-            server::Event::Gone(key) => match self.exchanges.get(&key).copied() {
+            server::Event::Disconnected(key) => match self.exchanges.get(&key).copied() {
                 Some(id) => self.event(cx, id, 0, Event::CallerGone),
                 // The answer was whole; only its delivery failed.
                 None => self.metrics.refused(Refusal::CallerGone),
             },
-            server::Event::Full(key) => self.pause(key, true),
-            server::Event::Drained(key) => self.pause(key, false),
+            server::Event::OutputFull(key) => self.pause(key, true),
+            server::Event::OutputReady(key) => self.pause(key, false),
         }
     }
 
