--- a/crates/sablepass-edge/src/admin.rs
+++ b/crates/sablepass-edge/src/admin.rs
@@ -150,5 +150,5 @@
     *head.status_mut() =
         http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
     head.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
-    to.whole(head, body);
+    to.send_complete(head, body);
 }
--- a/crates/sablepass-edge/src/connection.rs
+++ b/crates/sablepass-edge/src/connection.rs
@@ -406,7 +406,7 @@
                 };
                 self.write_head(*proto, *head)?;
             }
-            Part::Head(head, Framing::Whole) => {
+            Part::Head(head, Framing::ContentLength) => {
                 let Phase::Waiting(proto) = std::mem::replace(&mut self.phase, Phase::Closed)
                 else {
                     return Err(StopCause::Protocol);
--- a/crates/sablepass-edge/src/server.rs
+++ b/crates/sablepass-edge/src/server.rs
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// By length: the answer is buffered and written when it is complete.
-    Whole,
+    ContentLength,
     /// Chunked: each part is written as it arrives.
     Chunked,
 }
@@ -139,8 +139,8 @@
     }
 
     /// Sends a complete answer.
-    pub fn whole(&self, head: http::Response<()>, body: Vec<u8>) {
-        self.send(Part::Head(Box::new(head), Framing::Whole));
+    pub fn send_complete(&self, head: http::Response<()>, body: Vec<u8>) {
+        self.send(Part::Head(Box::new(head), Framing::ContentLength));
         self.send(Part::Bytes(body));
         self.send(Part::End);
     }
--- a/crates/sablepass-entry/src/dialect.rs
+++ b/crates/sablepass-entry/src/dialect.rs
@@ -45,7 +45,7 @@
 
     /// Begins an answer.
     pub fn head(self, reply: &Reply, label: &str, head: Head, stream: bool) {
-        let framing = if stream { Framing::Chunked } else { Framing::Whole };
+        let framing = if stream { Framing::Chunked } else { Framing::ContentLength };
         let head = match self {
             Self::OpenAi => openai::head(label, head, stream),
             Self::Routes => routes::head(head),
@@ -59,7 +59,7 @@
             Self::OpenAi => openai::failure(label, failure, comeback),
             Self::Routes => routes::failure(label, failure, comeback),
         };
-        reply.whole(head, body);
+        reply.send_complete(head, body);
     }
 
     /// Ends an answer that has begun and will not be whole.
--- a/crates/sablepass-entry/src/openai.rs
+++ b/crates/sablepass-entry/src/openai.rs
@@ -320,5 +320,5 @@
     let mut head = Response::new(());
     let json = HeaderValue::from_static("application/json");
     head.headers_mut().insert(header::CONTENT_TYPE, json);
-    reply.whole(head, list.to_string().into_bytes());
+    reply.send_complete(head, list.to_string().into_bytes());
 }
