--- a/crates/sablepass-agent/src/answers.rs
+++ b/crates/sablepass-agent/src/answers.rs
@@ -3,7 +3,7 @@
 
 //! What a keeper answers to operators: readiness, status, its group.
 
-use sablepass_edge::admin::{self, Ask};
+use sablepass_edge::admin::{self, Subject};
 use stakker::{CX, call, ret_some_do};
 
 use crate::keeper::Keeper;
@@ -11,14 +11,14 @@
 impl Keeper {
     /// Answers an operator's query.
     pub fn query(&mut self, _cx: CX![], query: admin::Query) {
-        let reply = match query.ask {
-            Ask::Ready => self.ready(),
-            Ask::Request(_) => admin::Reply::missing("request; ask the entry that took it"),
-            Ask::Group(name) => match self.group.as_ref().filter(|it| it.name() == name) {
+        let reply = match query.subject {
+            Subject::Ready => self.ready(),
+            Subject::Request(_) => admin::Reply::missing("request; ask the entry that took it"),
+            Subject::Group(name) => match self.group.as_ref().filter(|it| it.name() == name) {
                 Some(it) => admin::Reply::ok(&it.explain()),
                 None => admin::Reply::missing("group"),
             },
-            Ask::Status => {
+            Subject::Status => {
                 self.status(query.reply);
                 return;
             }
@@ -32,7 +32,7 @@
         admin::Reply { status: if ready { 200 } else { 503 }, json }
     }
 
-    fn status(&self, reply: admin::Asker) {
+    fn status(&self, reply: admin::Responder) {
         let (leaving, drained) = (self.gate.leaving(), self.drained);
         let (running, capacity, engine) =
             (self.gate.running(), self.capacity, self.target.engine());
--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -400,13 +400,13 @@
                 "age_ms": now.saturating_sub(it.at),
             })
         });
-        match query.ask {
-            admin::Ask::Ready => {
+        match query.subject {
+            admin::Subject::Ready => {
                 let json = serde_json::json!({ "ready": self.good }).to_string();
                 let status = if self.good { 200 } else { 503 };
                 query.reply.send(admin::Reply { status, json });
             }
-            admin::Ask::Status => {
+            admin::Subject::Status => {
                 let (good, reply) = (self.good, query.reply);
                 let ret = ret_some_do!(move |mesh: serde_json::Value| {
                     let mut status = mesh;
@@ -417,10 +417,10 @@
                 });
                 call!([self.mesh], status(ret));
             }
-            admin::Ask::Request(_) => {
+            admin::Subject::Request(_) => {
                 query.reply.send(admin::Reply::missing("request; ask the entry that took it"));
             }
-            admin::Ask::Group(_) => {
+            admin::Subject::Group(_) => {
                 query.reply.send(admin::Reply::ok(&self.ranks.explain()));
             }
         }
--- a/crates/sablepass-edge/src/admin.rs
+++ b/crates/sablepass-edge/src/admin.rs
@@ -18,14 +18,14 @@
 #[derive(Debug)]
 pub struct Query {
     /// Subject of the query.
-    pub ask: Ask,
+    pub subject: Subject,
     /// Sender of the answer.
-    pub reply: Asker,
+    pub reply: Responder,
 }
 
 /// Subject of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Subject {
     /// Readiness of the process.
     Ready,
     /// Desired, accepted and effective configuration.
@@ -38,9 +38,9 @@
 
 /// Sender of the answer to one query.
 #[derive(Clone, Debug)]
-pub struct Asker(server::Reply);
+pub struct Responder(server::Reply);
 
-impl Asker {
+impl Responder {
     /// Sends the answer. It is dropped if the caller has disconnected.
     pub fn send(&self, reply: Reply) {
         send_response(&self.0, reply.status, "application/json", reply.json.into_bytes());
@@ -118,7 +118,7 @@
             send_response(&request.reply, 400, "text/plain", b"not understood\n".to_vec());
             return;
         };
-        let ask = match (head.uri().path(), head.uri().query()) {
+        let subject = match (head.uri().path(), head.uri().query()) {
             ("/metrics", _) => {
                 send_response(
                     &request.reply,
@@ -132,16 +132,16 @@
                 send_response(&request.reply, 200, "text/plain", b"ok\n".to_vec());
                 return;
             }
-            ("/readyz" | READY_PATH, _) => Ask::Ready,
-            ("/status", _) => Ask::Status,
-            ("/explain/request", Some(id)) => Ask::Request(id.to_owned()),
-            ("/explain/group", Some(name)) => Ask::Group(name.to_owned()),
+            ("/readyz" | READY_PATH, _) => Subject::Ready,
+            ("/status", _) => Subject::Status,
+            ("/explain/request", Some(id)) => Subject::Request(id.to_owned()),
+            ("/explain/group", Some(name)) => Subject::Group(name.to_owned()),
             _ => {
                 send_response(&request.reply, 404, "text/plain", b"unknown path\n".to_vec());
                 return;
             }
         };
-        self.queries.fwd(Query { ask, reply: Asker(request.reply) });
+        self.queries.fwd(Query { subject, reply: Responder(request.reply) });
     }
 }
 
--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -4,7 +4,7 @@
 //! What a router answers to operators: readiness, status, a request's story.
 
 use sablepass_core::revision::Revision;
-use sablepass_edge::admin::{self, Ask};
+use sablepass_edge::admin::{self, Subject};
 use sablepass_edge::clock;
 use stakker::{CX, call, ret_some_do};
 
@@ -13,14 +13,14 @@
 impl Router {
     /// Answers an operator's query.
     pub fn query(&mut self, _cx: CX![], query: admin::Query) {
-        let reply = match &query.ask {
-            Ask::Ready => self.ready(),
-            Ask::Request(id) => match self.traces.explain(id) {
+        let reply = match &query.subject {
+            Subject::Ready => self.ready(),
+            Subject::Request(id) => match self.traces.explain(id) {
                 Some(it) => admin::Reply::ok(&it),
                 None => admin::Reply::missing("request"),
             },
-            Ask::Group(_) => admin::Reply::missing("group; ask an agent of the group"),
-            Ask::Status => {
+            Subject::Group(_) => admin::Reply::missing("group; ask an agent of the group"),
+            Subject::Status => {
                 self.status(query.reply);
                 return;
             }
@@ -37,7 +37,7 @@
         admin::Reply { status: if ready { 200 } else { 503 }, json }
     }
 
-    fn status(&self, reply: admin::Asker) {
+    fn status(&self, reply: admin::Responder) {
         let now = clock::now();
         let members = self.targets.members();
         let targets: Vec<serde_json::Value> = members
