--- a/crates/sablepass-edge/src/caller.rs
+++ b/crates/sablepass-edge/src/caller.rs
@@ -24,7 +24,7 @@
     },
     /// No complete answer arrived in time.
     #[snafu(display("no complete answer in time"))]
-    Time,
+    Timeout,
     /// The answer exceeds the maximum size.
     #[snafu(display("answer longer than {max_bytes} bytes"))]
     TooLong {
@@ -61,18 +61,18 @@
     /// JSON body, if it has one.
     pub body: Option<Vec<u8>>,
     /// Time for the complete answer to arrive.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 impl Call {
     /// Creates a GET call.
-    pub fn get(path: impl Into<String>, limit: Duration) -> Self {
-        Self { method: http::Method::GET, path: path.into(), body: None, limit }
+    pub fn get(path: impl Into<String>, timeout: Duration) -> Self {
+        Self { method: http::Method::GET, path: path.into(), body: None, timeout }
     }
 
     /// Creates a POST call with a JSON body.
-    pub fn post(path: impl Into<String>, body: Vec<u8>, limit: Duration) -> Self {
-        Self { method: http::Method::POST, path: path.into(), body: Some(body), limit }
+    pub fn post(path: impl Into<String>, body: Vec<u8>, timeout: Duration) -> Self {
+        Self { method: http::Method::POST, path: path.into(), body: Some(body), timeout }
     }
 }
 
@@ -122,7 +122,7 @@
         self.calls += 1;
         let number = self.calls;
         self.current = Some(Current { number, answer: Answer::default() });
-        let limit = request.limit;
+        let timeout = request.timeout;
         let outgoing = self.outgoing(request);
         if self.connection.is_none() {
             self.connect(cx);
@@ -130,7 +130,7 @@
         if let Some(connection) = &self.connection {
             call!([connection], send(outgoing));
         }
-        after!(limit, [cx], check_time(number));
+        after!(timeout, [cx], check_timeout(number));
     }
 
     fn outgoing(&self, request: Call) -> Outgoing {
@@ -161,9 +161,9 @@
         self.connection = Some(connection);
     }
 
-    fn check_time(&mut self, _cx: CX![], number: u64) {
+    fn check_timeout(&mut self, _cx: CX![], number: u64) {
         if self.current.as_ref().is_some_and(|it| it.number == number) {
-            self.fail(Error::Time);
+            self.fail(Error::Timeout);
         }
     }
 
