--- a/crates/sablepass-agent/src/settings.rs
+++ b/crates/sablepass-agent/src/settings.rs
@@ -86,18 +86,18 @@
         self.node.check(checker)?;
         if self.gate {
             let qualified = self.node.name.contains('/');
-            checker.fits("node.name", &self.node.name, qualified, "partner/target")?;
+            checker.ensure("node.name", &self.node.name, qualified, "partner/target")?;
             let http = self.target.starts_with("http://");
-            checker.fits("target", &self.target, http, "a URL with http://")?;
+            checker.ensure("target", &self.target, http, "a URL with http://")?;
         } else {
             let fits = settings::parse_url(&self.target).is_some();
-            checker.fits("target", &self.target, fits, "http:// with an IP address and port")?;
+            checker.ensure("target", &self.target, fits, "http:// with an IP address and port")?;
         }
-        checker.fits("limit", self.limit, (1..=10_000).contains(&self.limit), "1 to 10000")?;
-        checker.fits("link", self.link, (0.1..=1e6).contains(&self.link), "0.1 to 1000000")?;
+        checker.ensure("limit", self.limit, (1..=10_000).contains(&self.limit), "1 to 10000")?;
+        checker.ensure("link", self.link, (0.1..=1e6).contains(&self.link), "0.1 to 1000000")?;
         let spans = [("heartbeat", self.heartbeat), ("keep", self.keep), ("read", self.read)];
         for (key, value) in spans {
-            checker.fits(key, value, (20..=86_400_000).contains(&value), "20 to 86400000")?;
+            checker.ensure(key, value, (20..=86_400_000).contains(&value), "20 to 86400000")?;
         }
         Ok(())
     }
--- a/crates/sablepass-edge/src/settings.rs
+++ b/crates/sablepass-edge/src/settings.rs
@@ -53,7 +53,7 @@
 
 impl Checker<'_> {
     /// Returns an error if `fits` is false.
-    pub fn fits(
+    pub fn ensure(
         &self,
         key: &'static str,
         value: impl ToString,
@@ -180,8 +180,8 @@
 
     /// Returns an error if a value is outside its allowed range.
     pub fn check(&self, checker: &Checker<'_>) -> Result<(), Error> {
-        checker.fits("node.name", &self.name, !self.name.is_empty(), "a unique name")?;
-        checker.fits("node.hall", &self.hall, !self.hall.is_empty(), "the hall's name")?;
+        checker.ensure("node.name", &self.name, !self.name.is_empty(), "a unique name")?;
+        checker.ensure("node.hall", &self.hall, !self.hall.is_empty(), "the hall's name")?;
         let durations = [
             ("node.list_every", self.list_every),
             ("node.digest_every", self.digest_every),
@@ -190,12 +190,12 @@
             ("node.watch_rest", self.watch_rest),
         ];
         for (key, value) in durations {
-            checker.fits(key, value, (20..=600_000).contains(&value), "20 to 600000")?;
+            checker.ensure(key, value, (20..=600_000).contains(&value), "20 to 600000")?;
         }
         let rate = self.log_rate;
-        checker.fits("node.log_rate", rate, (1..=100_000).contains(&rate), "1 to 100000")?;
+        checker.ensure("node.log_rate", rate, (1..=100_000).contains(&rate), "1 to 100000")?;
         let fits = parse_url(&self.platform).is_some();
-        checker.fits(
+        checker.ensure(
             "node.platform",
             &self.platform,
             fits,
@@ -203,7 +203,7 @@
         )?;
         let url = self.instances_url();
         let fits = parse_url(url).is_some();
-        checker.fits("node.instances", url, fits, "http:// with an IP address and port")
+        checker.ensure("node.instances", url, fits, "http:// with an IP address and port")
     }
 }
 
--- a/crates/sablepass-entry/src/settings.rs
+++ b/crates/sablepass-entry/src/settings.rs
@@ -159,21 +159,26 @@
         self.node.check(checker)?;
         let known = Policy::parse(&self.policy).is_some();
         let names = "round-robin, least-load, two-choices, even or affinity";
-        checker.fits("policy", &self.policy, known, names)?;
-        checker.fits("subset", self.subset, (1..=1_024).contains(&self.subset), "1 to 1024")?;
+        checker.ensure("policy", &self.policy, known, names)?;
+        checker.ensure("subset", self.subset, (1..=1_024).contains(&self.subset), "1 to 1024")?;
         let exchanges = self.exchanges;
-        checker.fits("exchanges", exchanges, (1..=20_000).contains(&exchanges), "1 to 20000")?;
+        checker.ensure("exchanges", exchanges, (1..=20_000).contains(&exchanges), "1 to 20000")?;
         let most = default_body();
-        checker.fits("body", self.body, (1_024..=most).contains(&self.body), "1024 to 4128768")?;
-        checker.fits("attempts", self.attempts, (1..=10).contains(&self.attempts), "1 to 10")?;
+        checker.ensure(
+            "body",
+            self.body,
+            (1_024..=most).contains(&self.body),
+            "1024 to 4128768",
+        )?;
+        checker.ensure("attempts", self.attempts, (1..=10).contains(&self.attempts), "1 to 10")?;
         let ratio = self.retry_ratio;
-        checker.fits("retry_ratio", ratio, (0.0..=1.0).contains(&ratio), "0 to 1")?;
+        checker.ensure("retry_ratio", ratio, (0.0..=1.0).contains(&ratio), "0 to 1")?;
         let slack = self.retry_slack.unwrap_or(0.0);
-        checker.fits("retry_slack", slack, (0.0..=1e6).contains(&slack), "0 to 1000000")?;
+        checker.ensure("retry_slack", slack, (0.0..=1e6).contains(&slack), "0 to 1000000")?;
         let wait = self.stop_wait;
-        checker.fits("stop_wait", wait, wait <= 3_600_000, "0 to 3600000")?;
+        checker.ensure("stop_wait", wait, wait <= 3_600_000, "0 to 3600000")?;
         let stories = self.stories;
-        checker.fits("stories", stories, (1..=1_000_000).contains(&stories), "1 to 1000000")?;
+        checker.ensure("stories", stories, (1..=1_000_000).contains(&stories), "1 to 1000000")?;
         let spans = [
             ("silence", self.silence),
             ("stop_lead", self.stop_lead),
@@ -183,7 +188,7 @@
             ("probe", self.probe),
         ];
         for (key, value) in spans {
-            checker.fits(key, value, (50..=3_600_000).contains(&value), "50 to 3600000")?;
+            checker.ensure(key, value, (50..=3_600_000).contains(&value), "50 to 3600000")?;
         }
         Ok(())
     }
