--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -35,7 +35,7 @@
 use crate::reader::{self, Batch, Form, Order, Read, Reader};
 use crate::settings::Node;
 use crate::telemetry::Metrics;
-use crate::unread::Unread;
+use crate::unread::UnreadFields;
 
 mod removals;
 mod report;
@@ -155,7 +155,7 @@
     unsent_removals: BTreeMap<String, Revision>,
     /// Era of the list in which all removals were last sent.
     removals_sent_era: u64,
-    unread: Unread,
+    unread: UnreadFields,
 }
 
 impl Spread {
@@ -196,7 +196,7 @@
             era_rejected: false,
             unsent_removals: BTreeMap::new(),
             removals_sent_era: 0,
-            unread: Unread::default(),
+            unread: UnreadFields::default(),
         }
     }
 
@@ -417,7 +417,7 @@
             self.report_rejected_era(kind, e);
         }
         for field in &read.unread {
-            self.unread.note(&self.log, &self.metrics, "platform", field);
+            self.unread.record(&self.log, &self.metrics, "platform", field);
         }
         let batch = match read.result {
             Ok(it) => it,
--- a/crates/sablepass-edge/src/unread.rs
+++ b/crates/sablepass-edge/src/unread.rs
@@ -21,14 +21,14 @@
 
 /// The fields seen so far.
 #[derive(Debug, Default)]
-pub struct Unread {
+pub struct UnreadFields {
     labels: BTreeSet<String>,
     logged: BTreeSet<(String, String)>,
 }
 
-impl Unread {
+impl UnreadFields {
     /// Records a header field of an answer.
-    pub fn note(&mut self, log: &Logger, metrics: &Metrics, sender: &str, field: &str) {
+    pub fn record(&mut self, log: &Logger, metrics: &Metrics, sender: &str, field: &str) {
         let label = self.label(field);
         metrics.fields_unread.with_label_values(&[label]).inc();
         if label != OTHER_LABEL && self.is_new(field, sender) {
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -115,7 +115,7 @@
         }
         let status = head.status().as_u16();
         for field in answer::unread(head.headers()) {
-            self.unread.note(&self.log, &self.metrics, &target, field);
+            self.unread.record(&self.log, &self.metrics, &target, field);
         }
         self.names_limit(
             now,
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -23,7 +23,7 @@
 use sablepass_edge::mesh::Mesh;
 use sablepass_edge::server::{ExchangeKey, Part, Server};
 use sablepass_edge::telemetry::Metrics;
-use sablepass_edge::unread::Unread;
+use sablepass_edge::unread::UnreadFields;
 use sablepass_wire::convert;
 use sablepass_wire::generated as wire;
 use sablepass_wire::generated::frame::Body;
@@ -75,7 +75,7 @@
     /// What other entries said of turns at targets with limits.
     pub(crate) turns: Turns,
     /// Fields of answers that nobody reads.
-    pub(crate) unread: Unread,
+    pub(crate) unread: UnreadFields,
     pub(crate) rng: StdRng,
     pub(crate) server: ActorOwn<Server>,
     pub(crate) stopping: Option<Millis>,
@@ -117,7 +117,7 @@
             traces: Traces::open(settings.stories),
             watch: Watch::default(),
             turns: Turns::default(),
-            unread: Unread::default(),
+            unread: UnreadFields::default(),
             rng: StdRng::seed_from_u64(rand::random()),
             stopping: None,
             sleep: clock::SuspensionDetector::default(),
