--- a/crates/sablepass-agent/src/main.rs
+++ b/crates/sablepass-agent/src/main.rs
@@ -56,7 +56,7 @@
         let actor = actor_new!(s, Observer, ret_shutdown!(s));
         let queries = fwd_to!([actor], query() as (admin::Query));
         let signals = runtime::signals(s, fwd_to!([actor], signal() as (runtime::Signal)))?;
-        let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peers);
+        let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peer_addr);
         let mesh = base.spawn_mesh(s, fwd_to!([actor], mesh_event() as (mesh::Event)));
         let (admin, operators) = admin::spawn(s, settings.node.admin, metrics.clone(), queries)?;
         println!("{}", serde_json::json!({ "peers": peers, "admin": admin }));
@@ -79,8 +79,8 @@
         let queries = fwd_to!([actor], query() as (admin::Query));
         let (engine, engine_guard) = Channel::new(s, fwd_to!([actor], engine() as (orders::Heard)));
         let signals = runtime::signals(s, fwd_to!([actor], signal() as (runtime::Signal)))?;
-        let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peers);
-        let me = base.me.incarnation;
+        let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peer_addr);
+        let me = base.identity.incarnation;
         let mesh = base.spawn_mesh(s, fwd_to!([actor], mesh_event() as (mesh::Event)));
         let (admin, operators) = admin::spawn(s, settings.node.admin, metrics.clone(), queries)?;
         let target = target::Target::open(&settings, loads);
--- a/crates/sablepass-edge/src/daemon.rs
+++ b/crates/sablepass-edge/src/daemon.rs
@@ -85,9 +85,9 @@
     /// Metrics of the process.
     pub metrics: Arc<Metrics>,
     /// Identity of the process.
-    pub me: Identity,
+    pub identity: Identity,
     /// Address on which other processes connect.
-    pub peers: SocketAddr,
+    pub peer_addr: SocketAddr,
     listener: TcpListener,
 }
 
@@ -98,8 +98,8 @@
         Ok(Self {
             log: log::open(node, role),
             metrics: Arc::new(Metrics::open()?),
-            me: Identity::open(node.clone(), role),
-            peers: listener.local_addr().unwrap_or(node.listen),
+            identity: Identity::open(node.clone(), role),
+            peer_addr: listener.local_addr().unwrap_or(node.listen),
             listener,
         })
     }
@@ -107,7 +107,7 @@
     /// Spawns the mesh, which sends its events to `events`.
     pub fn spawn_mesh(self, s: &mut Stakker, events: Fwd<mesh::Event>) -> ActorOwn<Mesh> {
         let mesh = actor_new!(s, Mesh, ret_shutdown!(s));
-        call!([mesh], Mesh::init(self.me, self.log, self.metrics, events, self.listener));
+        call!([mesh], Mesh::init(self.identity, self.log, self.metrics, events, self.listener));
         mesh
     }
 }
--- a/crates/sablepass-entry/src/main.rs
+++ b/crates/sablepass-entry/src/main.rs
@@ -55,7 +55,7 @@
         let actor = actor_new!(s, Router, ret_shutdown!(s));
         let queries = || fwd_to!([actor], query() as (admin::Query));
         let signals = runtime::signals(s, fwd_to!([actor], signal() as (runtime::Signal)))?;
-        let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peers);
+        let (log, metrics, peers) = (base.log.clone(), base.metrics.clone(), base.peer_addr);
         let mesh = base.spawn_mesh(s, fwd_to!([actor], mesh_event() as (mesh::Event)));
         let (admin, operators) = admin::spawn(s, settings.node.admin, metrics.clone(), queries())?;
         let ready = match settings.ready {
