--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -101,7 +101,7 @@
 
 /// Parameters of a read.
 #[derive(Clone, Copy, Debug)]
-pub struct Order {
+pub struct ReadRequest {
     /// Revision of the replica.
     pub after: Revision,
     /// Maximum time for which the service may hold the call until something changes.
@@ -136,7 +136,7 @@
 
 /// A read that has not finished.
 struct PendingRead {
-    order: Order,
+    request: ReadRequest,
     /// Revision of the first page, and the items of all pages so far.
     pages: Option<(Revision, Vec<store::Change>)>,
 }
@@ -152,7 +152,7 @@
 }
 
 impl Reader {
-    /// Creates a reader, which makes its first call when [`Self::order`] is called.
+    /// Creates a reader, which makes its first call when [`Self::start`] is called.
     pub fn init(
         cx: CX![],
         kind: StoreKind,
@@ -168,32 +168,32 @@
     }
 
     /// Starts a read. A pending one is abandoned.
-    pub fn order(&mut self, _cx: CX![], order: Order) {
-        self.pending = Some(PendingRead { order, pages: None });
-        self.send(order, None);
+    pub fn start(&mut self, _cx: CX![], request: ReadRequest) {
+        self.pending = Some(PendingRead { request, pages: None });
+        self.send(request, None);
     }
 
-    fn send(&self, order: Order, page_after: Option<&str>) {
-        let call = Call::get(self.path(order, page_after), order.wait + CALL_TIMEOUT);
+    fn send(&self, request: ReadRequest, page_after: Option<&str>) {
+        let call = Call::get(self.path(request, page_after), request.wait + CALL_TIMEOUT);
         call!([self.caller], call(call));
     }
 
-    fn path(&self, order: Order, page_after: Option<&str>) -> String {
-        let wait = order.wait;
+    fn path(&self, request: ReadRequest, page_after: Option<&str>) -> String {
+        let wait = request.wait;
         match (self.form, self.kind) {
             (Form::Changes, kind) => {
                 let label = service_label(kind);
                 let wait = wait.as_millis();
-                format!("/v1/{label}?after={}&wait_ms={wait}", order.after.number)
+                format!("/v1/{label}?after={}&wait_ms={wait}", request.after.number)
             }
-            (Form::Keys, kind) if order.whole => store::range_path(prefix(kind), page_after),
-            (Form::Keys, kind) => store::watch_path(prefix(kind), order.after.number, wait),
+            (Form::Keys, kind) if request.whole => store::range_path(prefix(kind), page_after),
+            (Form::Keys, kind) => store::watch_path(prefix(kind), request.after.number, wait),
         }
     }
 
     fn handle_answer(&mut self, _cx: CX![], result: Result<Answer, caller::Error>) {
         let Some(pending) = self.pending.take() else { return };
-        let held = pending.order.after.era;
+        let held = pending.request.after.era;
         let none = HeaderMap::new();
         let fields = result.as_ref().map_or(&none, |it| &it.fields);
         let (era, rejected_era) = self.era(held, fields);
@@ -228,29 +228,29 @@
         era: u64,
         result: Result<Answer, caller::Error>,
     ) -> Option<Result<Batch, Error>> {
-        let order = pending.order;
-        let held = order.after.era;
+        let request = pending.request;
+        let held = request.after.era;
         let Answer { status, body, .. } = match result {
             Ok(it) => it,
             Err(source) => return Some(Err(Error::Call { source })),
         };
-        if !order.whole && era > held {
+        if !request.whole && era > held {
             return Some(Err(Error::Restored { held, now: era }));
         }
         if status == store::HISTORY_GONE {
-            return Some(Err(Error::HistoryGone { after: order.after.number }));
+            return Some(Err(Error::HistoryGone { after: request.after.number }));
         }
         if status != 200 {
             return Some(Err(Error::Status { status }));
         }
         match self.form {
-            Form::Changes => Some(parse_changes(order, &body)),
-            Form::Keys if order.whole => match store::page(&body) {
+            Form::Changes => Some(parse_changes(request, &body)),
+            Form::Keys if request.whole => match store::page(&body) {
                 Ok(page) => self.add_page(pending, era, page),
                 Err(source) => Some(Err(Error::Platform { source })),
             },
             Form::Keys if era < held => Some(Err(Error::OldEra { held, now: era })),
-            Form::Keys => Some(self.parse_watch(order, &body)),
+            Form::Keys => Some(self.parse_watch(request, &body)),
         }
     }
 
@@ -263,7 +263,7 @@
         era: u64,
         page: store::Page,
     ) -> Option<Result<Batch, Error>> {
-        let order = pending.order;
+        let request = pending.request;
         let last = page.items.last().map(|it| it.key.clone());
         let first = Revision::new(era, page.revision);
         let (revision, items) = pending.pages.get_or_insert((first, Vec::new()));
@@ -273,17 +273,17 @@
         items.extend(page.items);
         if page.more && last.is_some() {
             self.pending = Some(pending);
-            self.send(order, last.as_deref());
+            self.send(request, last.as_deref());
             return None;
         }
         let (revision, items) = (*revision, std::mem::take(items));
-        Some(Ok(self.batch(true, order.after.min(revision), revision, items)))
+        Some(Ok(self.batch(true, request.after.min(revision), revision, items)))
     }
 
-    fn parse_watch(&self, order: Order, body: &[u8]) -> Result<Batch, Error> {
+    fn parse_watch(&self, request: ReadRequest, body: &[u8]) -> Result<Batch, Error> {
         let watch = store::changes(body).context(PlatformSnafu)?;
-        let revision = Revision::new(order.after.era, watch.revision);
-        Ok(self.batch(false, order.after, revision, watch.changes))
+        let revision = Revision::new(request.after.era, watch.revision);
+        Ok(self.batch(false, request.after, revision, watch.changes))
     }
 
     fn batch(
@@ -394,7 +394,7 @@
     body: String,
 }
 
-fn parse_changes(order: Order, body: &[u8]) -> Result<Batch, Error> {
+fn parse_changes(request: ReadRequest, body: &[u8]) -> Result<Batch, Error> {
     let changes: Changes = serde_json::from_slice(body).context(AnswerSnafu)?;
     let document = |it: ChangedDocument| Document {
         key: it.key,
@@ -404,6 +404,6 @@
     };
     let documents = changes.documents.into_iter().map(document).collect();
     let revision = changes.revision.into();
-    let delta = Delta { after: order.after, revision, documents, whole: None };
+    let delta = Delta { after: request.after, revision, documents, whole: None };
     Ok(Batch { delta, problems: Vec::new() })
 }
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -32,7 +32,7 @@
 use stakker::{ActorOwn, Core, Fwd, actor_new, call, ret_nop};
 
 use crate::instance::{Instance, Role};
-use crate::reader::{self, Batch, Form, Order, Read, Reader};
+use crate::reader::{self, Batch, Form, Read, ReadRequest, Reader};
 use crate::settings::Node;
 use crate::telemetry::Metrics;
 use crate::unread::UnreadFields;
@@ -70,7 +70,7 @@
     store: Store,
     reader: ActorOwn<Reader>,
     /// Time at which the pending call was ordered.
-    ordered_at: Option<Millis>,
+    read_started: Option<Millis>,
     /// Time by which a healthy service answers the last call.
     answer_due: Millis,
     /// Whether the last call succeeded with an answer that was not stale.
@@ -93,7 +93,7 @@
         Self {
             store,
             reader,
-            ordered_at: None,
+            read_started: None,
             answer_due: 0,
             healthy: false,
             failures: 0,
@@ -104,12 +104,12 @@
         }
     }
 
-    fn order(&mut self, now: Millis, wait: Duration) {
-        self.ordered_at = Some(now);
+    fn start_read(&mut self, now: Millis, wait: Duration) {
+        self.read_started = Some(now);
         let wait = if self.full_read { Duration::ZERO } else { wait };
         self.answer_due = now + wait.as_millis() as Millis;
-        let order = Order { after: self.store.revision(), wait, whole: self.full_read };
-        call!([self.reader], order(order));
+        let request = ReadRequest { after: self.store.revision(), wait, whole: self.full_read };
+        call!([self.reader], start(request));
     }
 
     fn may_pull(&mut self, now: Millis, after: Revision) -> bool {
@@ -408,7 +408,7 @@
     /// Handles a completed read. Returns the kind of store if its documents changed.
     pub fn read(&mut self, now: Millis, read: Read) -> Option<StoreKind> {
         let kind = read.kind;
-        let ordered = self.source(kind).ordered_at.take().unwrap_or(now);
+        let started = self.source(kind).read_started.take().unwrap_or(now);
         self.record_era(now, read.era);
         if kind == StoreKind::Instances {
             self.record_outage(now, &read.result);
@@ -437,7 +437,7 @@
         let min_interval = self.min_interval(kind);
         let source = self.source(kind);
         source.failures = 0;
-        source.next_call = now.max(ordered + min_interval);
+        source.next_call = now.max(started + min_interval);
         let mut delta = batch.delta;
         let source = self.source(kind);
         source.full_read &= delta.whole.is_none();
@@ -545,16 +545,16 @@
         let max_watch = self.node.watch + WATCH_GRACE;
         let shared_service = self.shared_service();
         let source = self.source(shared_service);
-        let watching = source.ordered_at.is_some_and(|at| now < at + max_watch);
+        let watching = source.read_started.is_some_and(|at| now < at + max_watch);
         if watching && source.healthy && shared_service == StoreKind::Declarations {
             self.last_answer = now;
         }
         for kind in [StoreKind::Declarations, StoreKind::Instances] {
             let source = self.source(kind);
-            let due = source.ordered_at.is_none() && now >= source.next_call;
+            let due = source.read_started.is_none() && now >= source.next_call;
             if due && self.should_read(now, kind) {
                 let wait = self.wait(now, kind);
-                self.source(kind).order(now, wait);
+                self.source(kind).start_read(now, wait);
             }
         }
     }
