--- a/crates/sablepass-edge/src/client.rs
+++ b/crates/sablepass-edge/src/client.rs
@@ -273,7 +273,7 @@
             match status {
                 ReadStatus::NewData => {
                     self.connected = true;
-                    if let Err(cause) = self.take() {
+                    if let Err(cause) = self.process_input() {
                         self.close(cx, cause);
                         return;
                     }
@@ -312,12 +312,12 @@
         self.close(cx, Cause::Closed);
     }
 
-    fn take(&mut self) -> Result<(), Cause> {
+    fn process_input(&mut self) -> Result<(), Cause> {
         loop {
             let more = match self.phase {
-                Phase::Idle => return self.take_idle(),
-                Phase::Answer(_) => self.take_head()?,
-                Phase::Body(_) => self.take_body()?,
+                Phase::Idle => return self.check_idle_input(),
+                Phase::Answer(_) => self.parse_head()?,
+                Phase::Body(_) => self.parse_body()?,
                 Phase::Closed => false,
             };
             if !more {
@@ -326,11 +326,11 @@
         }
     }
 
-    fn take_idle(&self) -> Result<(), Cause> {
+    fn check_idle_input(&self) -> Result<(), Cause> {
         if self.tcp.rd == self.tcp.wr { Ok(()) } else { Err(Cause::UnexpectedData) }
     }
 
-    fn take_head(&mut self) -> Result<bool, Cause> {
+    fn parse_head(&mut self) -> Result<bool, Cause> {
         let Phase::Answer(call) = &mut self.phase else { return Ok(false) };
         let input = &self.tcp.inp[self.tcp.rd..self.tcp.wr];
         let (used, response) =
@@ -368,7 +368,7 @@
         }
     }
 
-    fn take_body(&mut self) -> Result<bool, Cause> {
+    fn parse_body(&mut self) -> Result<bool, Cause> {
         let Phase::Body(call) = &mut self.phase else { return Ok(false) };
         let input = &self.tcp.inp[self.tcp.rd..self.tcp.wr];
         let mut bytes = vec![0; input.len()];
--- a/crates/sablepass-edge/src/clock.rs
+++ b/crates/sablepass-edge/src/clock.rs
@@ -36,7 +36,8 @@
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
 
-/// Milliseconds since the Unix epoch by the system time, for log lines only.
+/// Milliseconds since the Unix epoch by the system time, which may be stepped. Not for measuring
+/// durations.
 pub fn time_of_day() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |it| it.as_millis() as Millis)
 }
--- a/crates/sablepass-edge/src/connection.rs
+++ b/crates/sablepass-edge/src/connection.rs
@@ -141,7 +141,8 @@
             phase: idle(),
             limits,
             owner,
-            replies: fwd_to!([cx], |this, cx, it: (ExchangeKey, Part)| this.part(cx, it.0, it.1)),
+            replies: fwd_to!([cx], |this, cx, it: (ExchangeKey, Part)| this
+                .handle_part(cx, it.0, it.1)),
             close_after_reply,
             input_closed: false,
             blocked_since: None,
@@ -263,15 +264,15 @@
             self.tcp.rd = self.tcp.wr;
         }
         if matches!(self.phase, Phase::Head(_)) {
-            self.take_head()?;
+            self.parse_head()?;
         }
         if matches!(self.phase, Phase::Body(_)) {
-            self.take_body()?;
+            self.parse_body()?;
         }
         Ok(())
     }
 
-    fn take_head(&mut self) -> Step {
+    fn parse_head(&mut self) -> Step {
         let input = &self.tcp.inp[self.tcp.rd..self.tcp.wr];
         if input.is_empty() {
             return Ok(());
@@ -328,7 +329,7 @@
         Ok(())
     }
 
-    fn take_body(&mut self) -> Step {
+    fn parse_body(&mut self) -> Step {
         let Phase::Body(it) = &mut self.phase else { return Ok(()) };
         while !it.proto.is_ended() {
             let input = &self.tcp.inp[self.tcp.rd..self.tcp.wr];
@@ -388,7 +389,7 @@
 
     // Answers.
 
-    fn part(&mut self, cx: CX![], key: ExchangeKey, part: Part) {
+    fn handle_part(&mut self, cx: CX![], key: ExchangeKey, part: Part) {
         if key != self.key {
             // Part of an answer to an exchange that has ended.
             return;
--- a/crates/sablepass-edge/src/dial.rs
+++ b/crates/sablepass-edge/src/dial.rs
@@ -27,7 +27,7 @@
 
 /// Source of an endpoint's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Found {
+pub(crate) enum AddrSource {
     /// The instance list. The peer must introduce itself under the endpoint's name.
     Listed,
     /// The owner of the mesh.
@@ -39,12 +39,12 @@
 /// A process to dial.
 pub(crate) struct Endpoint {
     pub(crate) addr: SocketAddr,
-    pub(crate) found: Found,
+    pub(crate) addr_source: AddrSource,
     /// Whether it is dialled for replication.
     pub(crate) spread: bool,
     pub(crate) peer: Option<PeerKey>,
-    pub(crate) next: Millis,
-    pub(crate) wait: Millis,
+    pub(crate) next_dial: Millis,
+    pub(crate) redial_delay: Millis,
 }
 
 impl Mesh {
@@ -54,17 +54,17 @@
         let spread = self.replication_peers();
         let instances = self.spread.instances().clone();
         let listed = |it: &String| {
-            let found = instances.get(it)?;
-            Some((it.clone(), (found.addr, Found::Listed)))
+            let instance = instances.get(it)?;
+            Some((it.clone(), (instance.addr, AddrSource::Listed)))
         };
-        let mut chosen: BTreeMap<String, (SocketAddr, Found)> =
+        let mut chosen: BTreeMap<String, (SocketAddr, AddrSource)> =
             spread.iter().filter_map(listed).collect();
         chosen.extend(self.required.iter().filter_map(|it| match it {
             RequiredPeer::Named(name) => listed(name),
-            RequiredPeer::At(addr) => Some((it.endpoint(), (*addr, Found::Given))),
+            RequiredPeer::At(addr) => Some((it.endpoint(), (*addr, AddrSource::Given))),
         }));
         let is_obsolete = |name: &String, it: &Endpoint| {
-            it.found != Found::Seed && chosen.get(name).map(|it| it.0) != Some(it.addr)
+            it.addr_source != AddrSource::Seed && chosen.get(name).map(|it| it.0) != Some(it.addr)
         };
         let obsolete: Vec<String> = self
             .endpoints
@@ -78,9 +78,16 @@
                 self.remove_peer(cx, key);
             }
         }
-        for (name, (addr, found)) in chosen {
+        for (name, (addr, addr_source)) in chosen {
             let spread = spread.contains(&name);
-            let endpoint = Endpoint { addr, found, spread, peer: None, next: 0, wait: REDIAL_MIN };
+            let endpoint = Endpoint {
+                addr,
+                addr_source,
+                spread,
+                peer: None,
+                next_dial: 0,
+                redial_delay: REDIAL_MIN,
+            };
             self.endpoints.entry(name).or_insert(endpoint);
         }
     }
@@ -102,12 +109,12 @@
         names
     }
 
-    /// Orders the reads that are due and dials the endpoints that are due.
+    /// Starts the reads that are due and dials the endpoints that are due.
     pub(crate) fn maintain(&mut self, cx: CX![]) {
         let now = clock::now();
         self.spread.tick(now);
         self.add_seeds();
-        let due = |it: &Endpoint| it.peer.is_none() && now >= it.next;
+        let due = |it: &Endpoint| it.peer.is_none() && now >= it.next_dial;
         let names: Vec<String> =
             self.endpoints.iter().filter(|(_, it)| due(it)).map(|(name, _)| name.clone()).collect();
         for name in names {
@@ -124,11 +131,11 @@
         for addr in self.node.seeds.iter().filter(|it| **it != self.node.listen) {
             let endpoint = Endpoint {
                 addr: *addr,
-                found: Found::Seed,
+                addr_source: AddrSource::Seed,
                 spread: true,
                 peer: None,
-                next: 0,
-                wait: REDIAL_MIN,
+                next_dial: 0,
+                redial_delay: REDIAL_MIN,
             };
             self.endpoints.entry(format!("seed {addr}")).or_insert(endpoint);
         }
@@ -139,12 +146,12 @@
             return;
         };
         let peer = match TcpStream::connect(addr) {
-            Ok(stream) => Some(self.adopt(cx, stream, Some(name.clone()))),
+            Ok(stream) => Some(self.add_peer(cx, stream, Some(name.clone()))),
             Err(_) => None,
         };
         if let Some(endpoint) = self.endpoints.get_mut(&name) {
             endpoint.peer = peer;
-            endpoint.next = now + endpoint.wait;
+            endpoint.next_dial = now + endpoint.redial_delay;
         }
     }
 }
--- a/crates/sablepass-edge/src/log.rs
+++ b/crates/sablepass-edge/src/log.rs
@@ -87,7 +87,7 @@
 
     /// Takes a token for a line. Returns the number of lines dropped before it, or `None` if the
     /// line is dropped.
-    fn take(&self, level: Level) -> Option<u64> {
+    fn take_token(&self, level: Level) -> Option<u64> {
         let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         let elapsed = now.duration_since(bucket.refilled_at).min(Duration::from_secs(60));
@@ -110,7 +110,7 @@
     type Err = D::Err;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), D::Err> {
-        let Some(dropped) = self.take(record.level()) else {
+        let Some(dropped) = self.take_token(record.level()) else {
             return Ok(());
         };
         if dropped > 0 {
--- a/crates/sablepass-edge/src/mesh.rs
+++ b/crates/sablepass-edge/src/mesh.rs
@@ -28,7 +28,7 @@
 use stakker_mio::{MioPoll, MioSource, Ready};
 
 use crate::clock;
-use crate::dial::{self, Endpoint, Found};
+use crate::dial::{self, AddrSource, Endpoint};
 use crate::instance::{Instance, Role};
 use crate::link::{self, Link};
 use crate::reader;
@@ -166,7 +166,7 @@
 
 impl Peer {
     /// Name of the peer, if it is an entry.
-    fn entry(&self) -> Option<&String> {
+    fn entry_name(&self) -> Option<&String> {
         let introduction = self.introduction.as_ref()?;
         (introduction.role == Role::Entry.name()).then_some(&introduction.name)
     }
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Closes a connection on behalf of the owner.
+    /// Closes a connection that the owner no longer trusts.
     pub fn drop_peer(&mut self, cx: CX![], key: PeerKey) {
         self.remove_peer(cx, key);
     }
@@ -285,12 +285,12 @@
         // A failed accept is retried at the next event, and the peer dials again.
         while let Ok((stream, _)) = self.listener.accept() {
             if self.peers.len() < MAX_PEERS {
-                self.adopt(cx, stream, None);
+                self.add_peer(cx, stream, None);
             }
         }
     }
 
-    pub(crate) fn adopt(
+    pub(crate) fn add_peer(
         &mut self,
         cx: CX![],
         stream: TcpStream,
@@ -345,8 +345,8 @@
             Body::Digest(it) => self.handle_digest(now, key, &it),
             Body::Pull(it) => self.handle_pull(key, &it),
             Body::Delta(it) => self.handle_delta(cx, it),
-            Body::Removals(it) if peer.entry().is_some() => self.handle_removals(cx, &it),
-            Body::Entries(it) if peer.entry().is_some() => {
+            Body::Removals(it) if peer.entry_name().is_some() => self.handle_removals(cx, &it),
+            Body::Entries(it) if peer.entry_name().is_some() => {
                 peer.entries = it.names;
                 self.update_entries();
             }
@@ -361,8 +361,9 @@
         let Some(peer) = self.peers.get_mut(&key) else {
             return;
         };
-        let is_listed =
-            |it: &String| self.endpoints.get(it).is_some_and(|it| it.found == Found::Listed);
+        let is_listed = |it: &String| {
+            self.endpoints.get(it).is_some_and(|it| it.addr_source == AddrSource::Listed)
+        };
         let expected = peer.endpoint.as_ref().filter(|it| is_listed(it));
         if expected.is_some_and(|name| *name != message.name) {
             // The address in the instance list belongs to another process now.
@@ -371,7 +372,7 @@
             return;
         }
         if let Some(endpoint) = peer.endpoint.as_ref().and_then(|it| self.endpoints.get_mut(it)) {
-            endpoint.wait = dial::REDIAL_MIN;
+            endpoint.redial_delay = dial::REDIAL_MIN;
         }
         let introduction = Introduction {
             name: message.name,
@@ -394,7 +395,7 @@
     /// process, and those connected to them. Where entries find each other through a few seeds,
     /// only the seeds are connected to all entries.
     fn update_entries(&mut self) {
-        let direct = self.peers.values().filter_map(Peer::entry);
+        let direct = self.peers.values().filter_map(Peer::entry_name);
         let indirect = self.peers.values().flat_map(|it| &it.entries);
         let known: BTreeSet<&String> = direct.chain(indirect).collect();
         let others = known.into_iter().filter(|it| **it != self.node.name);
@@ -408,9 +409,9 @@
         if self.role != Role::Entry || !std::mem::take(&mut self.entries_changed) {
             return;
         }
-        let direct: BTreeSet<&String> = self.peers.values().filter_map(Peer::entry).collect();
+        let direct: BTreeSet<&String> = self.peers.values().filter_map(Peer::entry_name).collect();
         let names: Vec<String> = direct.into_iter().cloned().collect();
-        for peer in self.peers.values().filter(|it| it.entry().is_some()) {
+        for peer in self.peers.values().filter(|it| it.entry_name().is_some()) {
             call!([peer.link], send(Body::Entries(wire::Entries { names: names.clone() })));
         }
     }
@@ -419,12 +420,13 @@
         let Some(peer) = self.peers.remove(&key) else {
             return;
         };
-        self.entries_changed |= peer.entry().is_some();
+        self.entries_changed |= peer.entry_name().is_some();
         let now = clock::now();
         if let Some(endpoint) = peer.endpoint.and_then(|it| self.endpoints.get_mut(&it)) {
             endpoint.peer = None;
-            endpoint.next = now + endpoint.wait + rand::random_range(0..=endpoint.wait / 2);
-            endpoint.wait = (endpoint.wait * 2).min(REDIAL_MAX);
+            endpoint.next_dial =
+                now + endpoint.redial_delay + rand::random_range(0..=endpoint.redial_delay / 2);
+            endpoint.redial_delay = (endpoint.redial_delay * 2).min(REDIAL_MAX);
         }
         if peer.introduction.is_some() {
             self.owner.fwd(Event::Down(key));
--- a/crates/sablepass-edge/src/mesh/held.rs
+++ b/crates/sablepass-edge/src/mesh/held.rs
@@ -86,7 +86,7 @@
         }
         let unsent: Vec<Removal<'_>> = unsent.iter().map(|(key, at)| (key.as_str(), *at)).collect();
         let body = removals::body(&unsent);
-        for peer in self.peers.values().filter(|it| it.entry().is_some()) {
+        for peer in self.peers.values().filter(|it| it.entry_name().is_some()) {
             call!([peer.link], send(body.clone()));
         }
     }
@@ -97,7 +97,7 @@
         if all.is_empty() || self.role != Role::Entry {
             return;
         }
-        if let Some(peer) = self.peers.get(&key).filter(|it| it.entry().is_some()) {
+        if let Some(peer) = self.peers.get(&key).filter(|it| it.entry_name().is_some()) {
             call!([peer.link], send(removals::body(&all)));
         }
     }
--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -201,7 +201,7 @@
             Form::Changes => Vec::new(),
             Form::Keys => store::unread(fields).map(str::to_owned).collect(),
         };
-        if let Some(result) = self.parse_answer(pending, era.unwrap_or(held), result) {
+        if let Some(result) = self.process_answer(pending, era.unwrap_or(held), result) {
             self.report(Read { kind: self.kind, era, rejected_era, unread, result });
         }
     }
@@ -222,7 +222,7 @@
     }
 
     /// Turns an answer into the result of the read. Returns `None` if more pages follow.
-    fn parse_answer(
+    fn process_answer(
         &mut self,
         pending: PendingRead,
         era: u64,
--- a/crates/sablepass-edge/src/server.rs
+++ b/crates/sablepass-edge/src/server.rs
@@ -250,12 +250,12 @@
     fn accept(&mut self, cx: CX![], _: Ready) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(|it| it.accept()) {
             if self.connections.len() < self.limits.connections {
-                self.adopt(cx, stream);
+                self.add_connection(cx, stream);
             }
         }
     }
 
-    fn adopt(&mut self, cx: CX![], stream: TcpStream) {
+    fn add_connection(&mut self, cx: CX![], stream: TcpStream) {
         self.next_key += 1;
         let key = self.next_key;
         let ended = ret_some_to!([cx], |this, _cx, _cause: stakker::StopCause| {
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -69,7 +69,7 @@
 struct Source {
     store: Store,
     reader: ActorOwn<Reader>,
-    /// Time at which the pending call was ordered.
+    /// Start of the pending call.
     read_started: Option<Millis>,
     /// Time by which a healthy service answers the last call.
     answer_due: Millis,
@@ -112,6 +112,7 @@
         call!([self.reader], start(request));
     }
 
+    /// Whether a pull from `after` may be sent now. Records it as sent if so.
     fn may_pull(&mut self, now: Millis, after: Revision) -> bool {
         let pending =
             self.last_pull.is_some_and(|(at, from)| from == after && now < at + PULL_TIMEOUT);
@@ -331,7 +332,7 @@
             pulls.push(convert::pull(StoreKind::Instances, &self.list.store.pull(true)));
         }
         for (kind, digest) in theirs {
-            if !self.is_held(kind) {
+            if !self.is_replicated(kind) {
                 continue;
             }
             let (compare, ignored) = self.source(kind).store.compare(digest);
@@ -384,6 +385,7 @@
         }
     }
 
+    /// Updates the state derived from a store whose documents changed.
     fn apply_change(&mut self, kind: StoreKind) {
         if kind == StoreKind::Instances {
             self.instances = Rc::new(self.parse_instances());
@@ -396,7 +398,7 @@
 
     // Platform.
 
-    /// The service that only the elected readers read. Its answers show all processes how recent
+    /// The service that only the chosen readers read. Its answers show all processes how recent
     /// their replicas are.
     fn shared_service(&self) -> StoreKind {
         match self.node.form {
@@ -434,10 +436,10 @@
         if stale {
             return self.read_stale(now, kind, batch.delta);
         }
-        let min_interval = self.min_interval(kind);
+        let interval = self.min_interval(kind);
         let source = self.source(kind);
         source.failures = 0;
-        source.next_call = now.max(started + min_interval);
+        source.next_call = now.max(started + interval);
         let mut delta = batch.delta;
         let source = self.source(kind);
         source.full_read &= delta.whole.is_none();
@@ -506,7 +508,8 @@
                 // Pages that alternate between two eras must not cause calls without a delay.
                 let again = std::mem::replace(&mut source.full_read, true);
                 source.next_call = if again { source.next_retry(now) } else { now };
-                slog::info!(self.log, "full read of the platform required"; "what" => ?kind, "error" => %e);
+                slog::info!(self.log, "full read of the platform required"; "what" => ?kind,
+                    "error" => %e);
                 return;
             }
             reader::Error::OldEra { .. } => self.metrics.ignored(Ignored::OldRevision),
@@ -540,7 +543,7 @@
         }
     }
 
-    /// Orders the reads that are due.
+    /// Starts the reads that are due.
     pub fn tick(&mut self, now: Millis) {
         let max_watch = self.node.watch + WATCH_GRACE;
         let shared_service = self.shared_service();
@@ -553,7 +556,7 @@
             let source = self.source(kind);
             let due = source.read_started.is_none() && now >= source.next_call;
             if due && self.should_read(now, kind) {
-                let wait = self.wait(now, kind);
+                let wait = self.max_wait(now, kind);
                 self.source(kind).start_read(now, wait);
             }
         }
@@ -563,7 +566,7 @@
     /// first call succeeds, because an empty service would hold the call; also zero for the
     /// instance list in [`Form::Changes`], which is not watched. A process that receives changes
     /// from the readers watches only as a fallback, with the separate time `watch_rest`.
-    fn wait(&mut self, now: Millis, kind: StoreKind) -> Duration {
+    fn max_wait(&mut self, now: Millis, kind: StoreKind) -> Duration {
         let is_watched = self.node.form == Form::Keys || kind == StoreKind::Declarations;
         let watch = if self.ranks_as_reader(now) { self.node.watch } else { self.node.watch_rest };
         let wait = if is_watched && self.source(kind).healthy { watch } else { 0 };
@@ -572,13 +575,14 @@
 
     /// Whether this process replicates a store. Agents beside listed targets need little of the
     /// declarations, which may be large and change often; entries send them that part.
-    fn is_held(&self, kind: StoreKind) -> bool {
+    fn is_replicated(&self, kind: StoreKind) -> bool {
         !matches!(
             (self.node.form, self.role, kind),
             (Form::Keys, Role::Agent, StoreKind::Declarations)
         )
     }
 
+    /// Whether this process reads a service itself, instead of only pulling from peers.
     fn should_read(&self, now: Millis, kind: StoreKind) -> bool {
         match (self.node.form, self.role, kind) {
             (Form::Changes, _, StoreKind::Declarations) => self.ranks_as_reader(now),
@@ -594,6 +598,8 @@
         }
     }
 
+    /// Whether this process is among the chosen readers now. The circle grows with the age of the
+    /// last answer, by the setting `patience`.
     fn ranks_as_reader(&self, now: Millis) -> bool {
         let name = self.node.name.as_str();
         let patience = self.node.patience;
