--- a/crates/sablepass-edge/src/dial.rs
+++ b/crates/sablepass-edge/src/dial.rs
@@ -41,7 +41,7 @@
     pub(crate) addr: SocketAddr,
     pub(crate) addr_source: AddrSource,
     /// Whether it is dialled for replication.
-    pub(crate) spread: bool,
+    pub(crate) for_replication: bool,
     pub(crate) peer: Option<PeerKey>,
     pub(crate) next_dial: Millis,
     pub(crate) redial_delay: Millis,
@@ -51,14 +51,14 @@
     /// Updates the endpoints to the current replication peers and the processes required by the
     /// owner. Closes the connections of endpoints that are removed or have a new address.
     pub(crate) fn update_endpoints(&mut self, cx: CX![]) {
-        let spread = self.replication_peers();
-        let instances = self.spread.instances().clone();
+        let replication_peers = self.replication_peers();
+        let instances = self.replication.instances().clone();
         let listed = |it: &String| {
             let instance = instances.get(it)?;
             Some((it.clone(), (instance.addr, AddrSource::Listed)))
         };
         let mut chosen: BTreeMap<String, (SocketAddr, AddrSource)> =
-            spread.iter().filter_map(listed).collect();
+            replication_peers.iter().filter_map(listed).collect();
         chosen.extend(self.required.iter().filter_map(|it| match it {
             RequiredPeer::Named(name) => listed(name),
             RequiredPeer::At(addr) => Some((it.endpoint(), (*addr, AddrSource::Given))),
@@ -79,11 +79,11 @@
             }
         }
         for (name, (addr, addr_source)) in chosen {
-            let spread = spread.contains(&name);
+            let for_replication = replication_peers.contains(&name);
             let endpoint = Endpoint {
                 addr,
                 addr_source,
-                spread,
+                for_replication,
                 peer: None,
                 next_dial: 0,
                 redial_delay: REDIAL_MIN,
@@ -100,7 +100,7 @@
                     && it.0 != own_name
                     && it.1.role != Role::Target
             };
-            let names = self.spread.instances().iter().filter(fits).map(|it| it.0.as_str());
+            let names = self.replication.instances().iter().filter(fits).map(|it| it.0.as_str());
             let ranked = rendezvous::rank(own_name, names);
             ranked.into_iter().take(limit).map(str::to_owned).collect::<Vec<_>>()
         };
@@ -112,7 +112,7 @@
     /// Starts the reads that are due and dials the endpoints that are due.
     pub(crate) fn maintain(&mut self, cx: CX![]) {
         let now = clock::now();
-        self.spread.tick(now);
+        self.replication.tick(now);
         self.add_seeds();
         let due = |it: &Endpoint| it.peer.is_none() && now >= it.next_dial;
         let names: Vec<String> =
@@ -125,14 +125,14 @@
 
     /// Adds the seeds as endpoints while the instance list names no entry.
     fn add_seeds(&mut self) {
-        if self.spread.lists_entries() {
+        if self.replication.lists_entries() {
             return;
         }
         for addr in self.node.seeds.iter().filter(|it| **it != self.node.listen) {
             let endpoint = Endpoint {
                 addr: *addr,
                 addr_source: AddrSource::Seed,
-                spread: true,
+                for_replication: true,
                 peer: None,
                 next_dial: 0,
                 redial_delay: REDIAL_MIN,
--- a/crates/sablepass-edge/src/mesh.rs
+++ b/crates/sablepass-edge/src/mesh.rs
@@ -33,7 +33,7 @@
 use crate::link::{self, Link};
 use crate::reader;
 use crate::settings;
-use crate::spread::Spread;
+use crate::spread::Replication;
 use crate::telemetry::Metrics;
 
 mod held;
@@ -157,7 +157,7 @@
     /// Name of the endpoint, if this process dialled the connection.
     endpoint: Option<String>,
     /// Whether either side dialled the connection for replication.
-    spread: bool,
+    for_replication: bool,
     last_received: Millis,
     revision: Revision,
     /// Entries to which the peer reported connections.
@@ -188,7 +188,7 @@
     entries_changed: bool,
     pub(crate) endpoints: BTreeMap<String, Endpoint>,
     pub(crate) required: Vec<RequiredPeer>,
-    pub(crate) spread: Spread,
+    pub(crate) replication: Replication,
     ticks: u64,
 }
 
@@ -215,7 +215,8 @@
             }
         };
         let reads = fwd_to!([cx], handle_read() as (reader::Read));
-        let spread = Spread::open(cx, now, (&node, role), log.clone(), metrics.clone(), &reads);
+        let replication =
+            Replication::open(cx, now, (&node, role), log.clone(), metrics.clone(), &reads);
         let mut mesh = Self {
             role,
             incarnation,
@@ -229,7 +230,7 @@
             entries_changed: false,
             endpoints: BTreeMap::new(),
             required: Vec::new(),
-            spread,
+            replication,
             ticks: 0,
             node,
         };
@@ -271,13 +272,13 @@
             |it: Revision| serde_json::json!({ "era": it.era, "revision": it.number });
         let peers: BTreeMap<&str, _> =
             peers.into_iter().map(|(name, it)| (name, revision_json(it))).collect();
-        let revision = self.spread.revision();
+        let revision = self.replication.revision();
         ret.ret(serde_json::json!({
             "name": self.node.name, "hall": self.node.hall, "peers": peers,
             "addr": self.addr.to_string(), "era": revision.era, "revision": revision.number,
-            "instances": self.spread.instances().len(),
-            "service_age_ms": self.spread.age(clock::now()),
-            "documents": self.spread.status(),
+            "instances": self.replication.instances().len(),
+            "service_age_ms": self.replication.age(clock::now()),
+            "documents": self.replication.status(),
         }));
     }
 
@@ -302,20 +303,20 @@
         let link = actor_new!(cx, Link, ret_nop!());
         call!([link], Link::init(stream, events, self.metrics.clone()));
         let dialled = endpoint.as_ref().and_then(|it| self.endpoints.get(it));
-        let spread = dialled.is_some_and(|it| it.spread);
+        let for_replication = dialled.is_some_and(|it| it.for_replication);
         let hello = Body::Hello(wire::Hello {
             name: self.node.name.clone(),
             role: self.role.name().to_owned(),
             hall: self.node.hall.clone(),
             incarnation: self.incarnation.0,
-            spread,
+            spread: for_replication,
         });
         call!([link], send(hello));
         let peer = Peer {
             link,
             introduction: None,
             endpoint,
-            spread,
+            for_replication,
             last_received: clock::now(),
             revision: Revision::default(),
             entries: Vec::new(),
@@ -381,7 +382,7 @@
             incarnation: Incarnation(message.incarnation),
             dialled: peer.endpoint.clone(),
         };
-        peer.spread |= message.spread;
+        peer.for_replication |= message.spread;
         peer.introduction = Some(introduction.clone());
         call!([peer.link], send(digest));
         self.send_all_removals(key);
@@ -401,7 +402,7 @@
         let others = known.into_iter().filter(|it| **it != self.node.name);
         let names: Vec<String> = others.cloned().collect();
         self.owner.fwd(Event::Entries(names.clone()));
-        self.spread.set_entries(names);
+        self.replication.set_entries(names);
     }
 
     /// Sends the names of the connected entries to all of these, if they have changed.
@@ -446,7 +447,7 @@
         let now = clock::now();
         self.ticks += 1;
         let include_all = self.ticks.is_multiple_of(REQUEST_LINK_FACTOR);
-        self.send_digest(|it| it.spread || include_all);
+        self.send_digest(|it| it.for_replication || include_all);
         self.send_entries();
         self.close_silent(cx, now);
         let every = Duration::from_millis(self.node.digest_every);
@@ -455,7 +456,8 @@
 
     fn close_silent(&mut self, cx: CX![], now: Millis) {
         let silence = SILENCE_TIMEOUT.max(self.node.digest_every * 3);
-        let limit = |it: &Peer| if it.spread { silence } else { silence * REQUEST_LINK_FACTOR };
+        let limit =
+            |it: &Peer| if it.for_replication { silence } else { silence * REQUEST_LINK_FACTOR };
         let is_silent = |it: &Peer| {
             let anonymous = it.introduction.is_none();
             now.saturating_sub(it.last_received) > if anonymous { silence } else { limit(it) }
--- a/crates/sablepass-edge/src/mesh/held.rs
+++ b/crates/sablepass-edge/src/mesh/held.rs
@@ -22,7 +22,7 @@
 
 impl Mesh {
     pub(super) fn digest_body(&self, now: Millis) -> Body {
-        Body::Digest(self.spread.digest(now))
+        Body::Digest(self.replication.digest(now))
     }
 
     pub(super) fn handle_digest(&mut self, now: Millis, key: PeerKey, message: &wire::Digest) {
@@ -30,7 +30,7 @@
             return;
         };
         peer.revision = Revision::new(message.era, message.revision);
-        for pull in self.spread.compare(now, message) {
+        for pull in self.replication.compare(now, message) {
             call!([peer.link], send(Body::Pull(pull)));
         }
     }
@@ -39,7 +39,7 @@
         let Some(peer) = self.peers.get(&key) else {
             return;
         };
-        match self.spread.deltas(message) {
+        match self.replication.deltas(message) {
             Ok(deltas) => {
                 for delta in deltas {
                     call!([peer.link], send(delta));
@@ -52,7 +52,7 @@
     pub(super) fn handle_delta(&mut self, cx: CX![], message: wire::Delta) {
         match convert::parse_delta(message) {
             Ok((kind, delta)) => {
-                let changed = self.spread.merge(kind, delta);
+                let changed = self.replication.merge(kind, delta);
                 self.publish(cx, changed);
                 self.send_removals();
             }
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn handle_read(&mut self, cx: CX![], read: reader::Read) {
-        let changed = self.spread.read(clock::now(), read);
+        let changed = self.replication.read(clock::now(), read);
         self.publish(cx, changed);
         self.send_removals();
     }
@@ -69,7 +69,7 @@
     pub(super) fn handle_removals(&mut self, cx: CX![], message: &wire::Removals) {
         match removals::parse(message) {
             Ok(received) => {
-                let changed = self.spread.merge_removals(&received);
+                let changed = self.replication.merge_removals(&received);
                 self.publish(cx, changed);
                 self.send_removals();
             }
@@ -80,7 +80,7 @@
     /// Sends removals learned recently to the connected entries. Only entries read list lines from
     /// the platform, so only they can mistake a line of a restored backup for a current one.
     fn send_removals(&mut self) {
-        let unsent = self.spread.take_unsent_removals();
+        let unsent = self.replication.take_unsent_removals();
         if unsent.is_empty() || self.role != Role::Entry {
             return;
         }
@@ -93,7 +93,7 @@
 
     /// Sends all remembered removals to an entry that has just connected.
     pub(super) fn send_all_removals(&self, key: PeerKey) {
-        let all = self.spread.removals();
+        let all = self.replication.removals();
         if all.is_empty() || self.role != Role::Entry {
             return;
         }
@@ -106,15 +106,15 @@
         match changed {
             None => return,
             Some(StoreKind::Declarations) => {
-                let catalogue = self.spread.catalogue();
+                let catalogue = self.replication.catalogue();
                 self.owner.fwd(Event::Config(Rc::new(catalogue)));
             }
             Some(StoreKind::Instances) => {
                 let listing = Listing {
-                    instances: self.spread.instances().clone(),
-                    revision: self.spread.list_revision(),
-                    first_read: self.spread.list_first_read(),
-                    recovered_at: self.spread.recovered_at(),
+                    instances: self.replication.instances().clone(),
+                    revision: self.replication.list_revision(),
+                    first_read: self.replication.list_first_read(),
+                    recovered_at: self.replication.recovered_at(),
                 };
                 self.owner.fwd(Event::Instances(listing));
                 self.update_endpoints(cx);
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -132,7 +132,7 @@
 }
 
 /// Replicas of the declarations and of the instance list, and the state for keeping them current.
-pub struct Spread {
+pub struct Replication {
     node: Node,
     role: Role,
     log: Logger,
@@ -159,7 +159,7 @@
     unread: UnreadFields,
 }
 
-impl Spread {
+impl Replication {
     /// Opens empty stores and their readers. The readers send their results to `to`.
     pub fn open(
         core: &mut Core,
--- a/crates/sablepass-edge/src/spread/removals.rs
+++ b/crates/sablepass-edge/src/spread/removals.rs
@@ -12,9 +12,9 @@
 use sablepass_core::revision::Revision;
 use sablepass_wire::removals::Removal;
 
-use crate::spread::Spread;
+use crate::spread::Replication;
 
-impl Spread {
+impl Replication {
     /// Merges removals received from a peer. Returns the kind of store if the instance list
     /// changed.
     pub fn merge_removals(&mut self, received: &[Removal<'_>]) -> Option<StoreKind> {
--- a/crates/sablepass-edge/src/spread/report.rs
+++ b/crates/sablepass-edge/src/spread/report.rs
@@ -9,9 +9,9 @@
 use sablepass_core::revision::Revision;
 
 use crate::reader::Problem;
-use crate::spread::{MAX_REJECTED_ITEMS, Spread};
+use crate::spread::{MAX_REJECTED_ITEMS, Replication};
 
-impl Spread {
+impl Replication {
     /// Logs and counts documents whose version number is too low, and list lines of instances that
     /// have left.
     pub(super) fn report_rejected(&mut self, kind: StoreKind) {
