--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -598,8 +598,8 @@
         }
     }
 
-    /// Whether this process is a reader now. While the service does not answer, a further substitute
-    /// joins the readers after each period of `patience`.
+    /// Whether this process is a reader now. While the service does not answer, a further
+    /// substitute joins the readers after each period of `patience`.
     fn ranks_as_reader(&self, now: Millis) -> bool {
         let name = self.node.name.as_str();
         let patience = self.node.patience;
--- a/crates/sablepass-edge/src/spread/report.rs
+++ b/crates/sablepass-edge/src/spread/report.rs
@@ -39,7 +39,8 @@
         if std::mem::replace(&mut self.era_rejected, true) {
             return;
         }
-        slog::warn!(self.log, "rejected an implausible platform era"; "what" => ?kind, "error" => %e);
+        slog::warn!(self.log, "rejected an implausible platform era"; "what" => ?kind,
+            "error" => %e);
     }
 
     /// Marks a rejected revision of an item as reported. Returns whether it was already.
