--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -20,7 +20,7 @@
 use sablepass_core::revision::Revision;
 use sablepass_edge::caller::Answer;
 use sablepass_edge::instance::{Instance, Role};
-use sablepass_edge::mesh::{self, Mesh, Wanted};
+use sablepass_edge::mesh::{self, Mesh, RequiredPeer};
 use sablepass_edge::telemetry::Metrics;
 use sablepass_edge::{admin, clock, runtime};
 use sablepass_platform::answer::{self, Limit};
@@ -77,7 +77,7 @@
     /// The service that the target belongs to; empty until the instance list has the target.
     service: String,
     polls: u64,
-    suspension: clock::Sleep,
+    suspension: clock::SuspensionDetector,
     /// Time of the latest report to the entries.
     reported_at: Millis,
     /// State in the latest report to the entries.
@@ -135,7 +135,7 @@
             instances: Rc::default(),
             service: String::new(),
             polls: 0,
-            suspension: clock::Sleep::default(),
+            suspension: clock::SuspensionDetector::default(),
             reported_at: 0,
             reported_state: State::default(),
         };
@@ -228,9 +228,9 @@
         let me = self.settings.node.listen;
         // Of each pair of agents, the one with the lower address connects to the other.
         let others = targets().filter(|it| it.serves == self.service && it.addr.ip() > me.ip());
-        let wanted = others.map(|it| Wanted::At(SocketAddr::new(it.addr.ip(), me.port())));
-        let wanted: Vec<Wanted> = wanted.collect();
-        call!([self.mesh], want(wanted));
+        let wanted = others.map(|it| RequiredPeer::At(SocketAddr::new(it.addr.ip(), me.port())));
+        let wanted: Vec<RequiredPeer> = wanted.collect();
+        call!([self.mesh], require_peers(wanted));
     }
 
     fn carry_out(&self, list: Vec<Action>) {
@@ -248,7 +248,7 @@
     fn poll(&mut self, cx: CX![]) {
         let now = clock::now();
         self.polls += 1;
-        if let Some(suspended_for) = self.suspension.look(now) {
+        if let Some(suspended_for) = self.suspension.check(now) {
             self.on_resume(suspended_for);
         }
         let count = self.polls.is_multiple_of(POLLS_PER_COUNTS);
@@ -411,13 +411,13 @@
                 "age_ms": now.saturating_sub(it.at),
             })
         });
-        match query.ask {
-            admin::Ask::Ready => {
+        match query.subject {
+            admin::Subject::Ready => {
                 let json = serde_json::json!({ "ready": self.answering }).to_string();
                 let status = if self.answering { 200 } else { 503 };
                 query.reply.send(admin::Reply { status, json });
             }
-            admin::Ask::Status => {
+            admin::Subject::Status => {
                 let (answering, reply) = (self.answering, query.reply);
                 let ret = ret_some_do!(move |mesh: serde_json::Value| {
                     let mut status = mesh;
@@ -428,10 +428,10 @@
                 });
                 call!([self.mesh], status(ret));
             }
-            admin::Ask::Request(_) => {
+            admin::Subject::Request(_) => {
                 query.reply.send(admin::Reply::missing("request; ask the entry that took it"));
             }
-            admin::Ask::Group(_) => {
+            admin::Subject::Group(_) => {
                 query.reply.send(admin::Reply::ok(&self.ranks.explain()));
             }
         }
--- a/crates/sablepass-edge/src/dial.rs
+++ b/crates/sablepass-edge/src/dial.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which processes a mesh dials, and when it tries again.
+//! Choice of the processes that a mesh dials, and the schedule of its attempts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,119 +14,130 @@
 
 use crate::clock;
 use crate::instance::{Instance, Role};
-use crate::mesh::{Mesh, PeerKey, Wanted};
+use crate::mesh::{Mesh, PeerKey, RequiredPeer};
 
-/// Time between two looks at what has to be dialled.
-const PULSE: Duration = Duration::from_millis(100);
-/// First wait before a failed connection is dialled again.
-pub(crate) const REDIAL_FIRST: Millis = 100;
-/// Peers of the own hall to dial.
+/// Interval between two checks for reads and dial attempts that are due.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before a failed connection is first dialled again.
+pub(crate) const REDIAL_MIN: Millis = 100;
+/// Number of replication peers in the own hall.
 const NEAR_PEERS: usize = 3;
-/// Peers of other halls to dial.
+/// Number of replication peers in other halls.
 const FAR_PEERS: usize = 2;
 
-/// How the address of an endpoint was found.
+/// Source of an endpoint's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Found {
-    /// In the instance list: the other side must carry the endpoint's name.
+pub(crate) enum AddrSource {
+    /// The instance list. The peer must introduce itself under the endpoint's name.
     Listed,
-    /// The owner gave it.
+    /// The owner of the mesh.
     Given,
-    /// It is a seed.
+    /// The seeds in the settings.
     Seed,
 }
 
-/// A process to be connected to.
+/// A process to dial.
 pub(crate) struct Endpoint {
     pub(crate) addr: SocketAddr,
-    pub(crate) found: Found,
-    /// Whether it is dialled for spreading.
-    pub(crate) spread: bool,
+    pub(crate) addr_source: AddrSource,
+    /// Whether it is dialled for replication.
+    pub(crate) for_replication: bool,
     pub(crate) peer: Option<PeerKey>,
-    pub(crate) next: Millis,
-    pub(crate) wait: Millis,
+    pub(crate) next_dial: Millis,
+    pub(crate) redial_delay: Millis,
 }
 
 impl Mesh {
-    /// Makes the endpoints those that are wanted now.
-    pub(crate) fn place(&mut self, cx: CX![]) {
-        let spread = self.spread_peers();
-        let instances = self.spread.instances().clone();
+    /// Updates the endpoints to the current replication peers and the processes required by the
+    /// owner. Closes the connections of endpoints that are removed or have a new address.
+    pub(crate) fn update_endpoints(&mut self, cx: CX![]) {
+        let replication_peers = self.replication_peers();
+        let instances = self.replication.instances().clone();
         let listed = |it: &String| {
-            let found = instances.get(it)?;
-            Some((it.clone(), (found.addr, Found::Listed)))
+            let instance = instances.get(it)?;
+            Some((it.clone(), (instance.addr, AddrSource::Listed)))
         };
-        let mut chosen: BTreeMap<String, (SocketAddr, Found)> =
-            spread.iter().filter_map(listed).collect();
-        chosen.extend(self.wanted.iter().filter_map(|it| match it {
-            Wanted::Named(name) => listed(name),
-            Wanted::At(addr) => Some((it.endpoint(), (*addr, Found::Given))),
+        let mut chosen: BTreeMap<String, (SocketAddr, AddrSource)> =
+            replication_peers.iter().filter_map(listed).collect();
+        chosen.extend(self.required.iter().filter_map(|it| match it {
+            RequiredPeer::Named(name) => listed(name),
+            RequiredPeer::At(addr) => Some((it.endpoint(), (*addr, AddrSource::Given))),
         }));
-        let moved = |name: &String, it: &Endpoint| {
-            it.found != Found::Seed && chosen.get(name).map(|it| it.0) != Some(it.addr)
+        let is_obsolete = |name: &String, it: &Endpoint| {
+            it.addr_source != AddrSource::Seed && chosen.get(name).map(|it| it.0) != Some(it.addr)
         };
-        let gone: Vec<String> = self
+        let obsolete: Vec<String> = self
             .endpoints
             .iter()
-            .filter(|(name, it)| moved(name, it))
+            .filter(|(name, it)| is_obsolete(name, it))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in gone {
+        for name in obsolete {
             let endpoint = self.endpoints.remove(&name);
             if let Some(key) = endpoint.and_then(|it| it.peer) {
-                self.closed(cx, key);
+                self.remove_peer(cx, key);
             }
         }
-        for (name, (addr, found)) in chosen {
-            let spread = spread.contains(&name);
-            let fresh = Endpoint { addr, found, spread, peer: None, next: 0, wait: REDIAL_FIRST };
-            self.endpoints.entry(name).or_insert(fresh);
+        for (name, (addr, addr_source)) in chosen {
+            let for_replication = replication_peers.contains(&name);
+            let endpoint = Endpoint {
+                addr,
+                addr_source,
+                for_replication,
+                peer: None,
+                next_dial: 0,
+                redial_delay: REDIAL_MIN,
+            };
+            self.endpoints.entry(name).or_insert(endpoint);
         }
     }
 
-    fn spread_peers(&self) -> Vec<String> {
-        let me = &self.node.name;
-        let pick = |near: bool, most: usize| {
+    fn replication_peers(&self) -> Vec<String> {
+        let own_name = &self.node.name;
+        let pick = |near: bool, limit: usize| {
             let fits = |it: &(&String, &Instance)| {
-                (it.1.hall == self.node.hall) == near && it.0 != me && it.1.role != Role::Target
+                (it.1.hall == self.node.hall) == near
+                    && it.0 != own_name
+                    && it.1.role != Role::Target
             };
-            let names = self.spread.instances().iter().filter(fits).map(|it| it.0.as_str());
-            let ranked = rendezvous::rank(me, names);
-            ranked.into_iter().take(most).map(str::to_owned).collect::<Vec<_>>()
+            let names = self.replication.instances().iter().filter(fits).map(|it| it.0.as_str());
+            let ranked = rendezvous::rank(own_name, names);
+            ranked.into_iter().take(limit).map(str::to_owned).collect::<Vec<_>>()
         };
         let mut names = pick(true, NEAR_PEERS);
         names.extend(pick(false, FAR_PEERS));
         names
     }
 
-    pub(crate) fn pulse(&mut self, cx: CX![]) {
+    /// Starts the reads that are due and dials the endpoints that are due.
+    pub(crate) fn maintain(&mut self, cx: CX![]) {
         let now = clock::now();
-        self.spread.tick(now);
-        self.use_seeds();
-        let due = |it: &Endpoint| it.peer.is_none() && now >= it.next;
+        self.replication.tick(now);
+        self.add_seeds();
+        let due = |it: &Endpoint| it.peer.is_none() && now >= it.next_dial;
         let names: Vec<String> =
             self.endpoints.iter().filter(|(_, it)| due(it)).map(|(name, _)| name.clone()).collect();
         for name in names {
             self.dial(cx, now, name);
         }
-        after!(PULSE, [cx], pulse());
+        after!(MAINTENANCE_INTERVAL, [cx], maintain());
     }
 
-    /// Seeds serve while the instance list names no entry.
-    fn use_seeds(&mut self) {
-        if self.spread.lists_entries() {
+    /// Adds the seeds as endpoints while the instance list names no entry.
+    fn add_seeds(&mut self) {
+        if self.replication.lists_entries() {
             return;
         }
         for addr in self.node.seeds.iter().filter(|it| **it != self.node.listen) {
-            let fresh = Endpoint {
+            let endpoint = Endpoint {
                 addr: *addr,
-                found: Found::Seed,
-                spread: true,
+                addr_source: AddrSource::Seed,
+                for_replication: true,
                 peer: None,
-                next: 0,
-                wait: REDIAL_FIRST,
+                next_dial: 0,
+                redial_delay: REDIAL_MIN,
             };
-            self.endpoints.entry(format!("seed {addr}")).or_insert(fresh);
+            self.endpoints.entry(format!("seed {addr}")).or_insert(endpoint);
         }
     }
 
@@ -135,12 +146,12 @@
             return;
         };
         let peer = match TcpStream::connect(addr) {
-            Ok(stream) => Some(self.adopt(cx, stream, Some(name.clone()))),
+            Ok(stream) => Some(self.add_peer(cx, stream, Some(name.clone()))),
             Err(_) => None,
         };
         if let Some(endpoint) = self.endpoints.get_mut(&name) {
             endpoint.peer = peer;
-            endpoint.next = now + endpoint.wait;
+            endpoint.next_dial = now + endpoint.redial_delay;
         }
     }
 }
--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -4,7 +4,7 @@
 //! The router's answers to queries at the admin address: readiness, status and request traces.
 
 use sablepass_core::revision::Revision;
-use sablepass_edge::admin::{self, Ask};
+use sablepass_edge::admin::{self, Subject};
 use sablepass_edge::clock;
 use stakker::{CX, call, ret_some_do};
 
@@ -13,14 +13,14 @@
 impl Router {
     /// Answers a query of the admin server.
     pub fn query(&mut self, _cx: CX![], query: admin::Query) {
-        let reply = match &query.ask {
-            Ask::Ready => self.ready(),
-            Ask::Request(id) => match self.traces.explain(id) {
+        let reply = match &query.subject {
+            Subject::Ready => self.ready(),
+            Subject::Request(id) => match self.traces.explain(id) {
                 Some(trace) => admin::Reply::ok(&trace),
                 None => admin::Reply::missing("request"),
             },
-            Ask::Group(_) => admin::Reply::missing("group; ask an agent of the group"),
-            Ask::Status => {
+            Subject::Group(_) => admin::Reply::missing("group; ask an agent of the group"),
+            Subject::Status => {
                 self.status(query.reply);
                 return;
             }
@@ -38,7 +38,7 @@
     }
 
     /// Sends the status of this entry, merged with that of the mesh, which answers asynchronously.
-    fn status(&self, reply: admin::Asker) {
+    fn status(&self, reply: admin::Responder) {
         let now = clock::now();
         let members = self.targets.members();
         let targets: Vec<serde_json::Value> = members
--- a/crates/sablepass-entry/src/callers.rs
+++ b/crates/sablepass-entry/src/callers.rs
@@ -48,13 +48,13 @@
     pub fn server_event(&mut self, cx: CX![], event: server::Event) {
         match event {
             server::Event::Request(incoming) => self.request(cx, *incoming),
-            server::Event::Gone(key) => match self.exchanges.get(&key).copied() {
+            server::Event::Disconnected(key) => match self.exchanges.get(&key).copied() {
                 Some(id) => self.handle_event(cx, id, 0, Event::CallerGone),
                 // The answer was complete; only its delivery failed.
                 None => self.metrics.refused(Refusal::CallerGone),
             },
-            server::Event::Full(key) => self.pause(key, true),
-            server::Event::Drained(key) => self.pause(key, false),
+            server::Event::OutputFull(key) => self.pause(key, true),
+            server::Event::OutputReady(key) => self.pause(key, false),
         }
     }
 
--- a/crates/sablepass-entry/src/dialect.rs
+++ b/crates/sablepass-entry/src/dialect.rs
@@ -45,7 +45,7 @@
 
     /// Sends the head of an answer. Without `stream`, the body is sent as a whole.
     pub fn send_head(self, reply: &Reply, label: &str, head: Head, stream: bool) {
-        let framing = if stream { Framing::Chunked } else { Framing::Whole };
+        let framing = if stream { Framing::Chunked } else { Framing::ContentLength };
         let head = match self {
             Self::OpenAi => openai::head(label, head, stream),
             Self::Routes => routes::head(head),
@@ -66,7 +66,7 @@
             Self::OpenAi => openai::failure(label, failure, retry_after),
             Self::Routes => routes::failure(label, failure, retry_after),
         };
-        reply.whole(head, body);
+        reply.send_complete(head, body);
     }
 
     /// Ends an answer that was started and cannot be completed.
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -68,13 +68,13 @@
                 let (id, attempt) = (in_flight.request, in_flight.attempt);
                 self.handle_event(cx, id, attempt, Event::Chunk { offset, data });
             }
-            client::Event::End { reusable, rest: idle_timeout } => {
+            client::Event::End { reusable, keep_alive } => {
                 let now = clock::now();
                 let in_flight = self.pool.in_flight(key).copied();
                 let leaving =
                     self.pool.target(key).is_some_and(|it| self.targets.has_left(now, it));
                 if reusable && !leaving {
-                    self.pool.release(now, key, idle_timeout);
+                    self.pool.release(now, key, keep_alive);
                 } else {
                     self.pool.close(key);
                 }
@@ -123,7 +123,7 @@
         }
         let status = head.status().as_u16();
         for field in answer::unread(head.headers()) {
-            self.unread.note(&self.log, &self.metrics, &target, field);
+            self.unread.record(&self.log, &self.metrics, &target, field);
         }
         self.limit_announced(
             now,
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -105,7 +105,7 @@
     /// Sends the mesh the processes to connect to.
     pub(crate) fn update_wanted_peers(&mut self, _cx: CX![]) {
         let wanted = self.targets.wanted_peers(clock::now());
-        call!([self.mesh], want(wanted));
+        call!([self.mesh], require_peers(wanted));
     }
 
     /// Sends a newly connected entry the known suspects and notices. Records a newly connected
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -24,7 +24,7 @@
 use sablepass_edge::mesh::Mesh;
 use sablepass_edge::server::{ExchangeKey, Part, Server};
 use sablepass_edge::telemetry::Metrics;
-use sablepass_edge::unread::Unread;
+use sablepass_edge::unread::UnreadFields;
 use sablepass_wire::convert;
 use sablepass_wire::generated as wire;
 use sablepass_wire::generated::frame::Body;
@@ -78,13 +78,13 @@
     /// Next turns that other entries reported for targets with limits.
     pub(crate) turns: PeerTurns,
     /// Header fields of answers that this program does not interpret.
-    pub(crate) unread: Unread,
+    pub(crate) unread: UnreadFields,
     pub(crate) rng: StdRng,
     pub(crate) server: ActorOwn<Server>,
     /// When the graceful shutdown started.
     pub(crate) stopping_since: Option<Millis>,
     /// Detects that this process was suspended.
-    pub(crate) suspension_detector: clock::Sleep,
+    pub(crate) suspension_detector: clock::SuspensionDetector,
     /// Whether the last answer was sent and the process is about to exit.
     pub(crate) shutting_down: bool,
 }
@@ -121,10 +121,10 @@
             traces: Traces::open(settings.stories),
             watch: SuspectTracker::default(),
             turns: PeerTurns::default(),
-            unread: Unread::default(),
+            unread: UnreadFields::default(),
             rng: StdRng::seed_from_u64(rand::random()),
             stopping_since: None,
-            suspension_detector: clock::Sleep::default(),
+            suspension_detector: clock::SuspensionDetector::default(),
             shutting_down: false,
             settings,
             settings_file,
--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -25,7 +25,7 @@
 use sablepass_core::rendezvous;
 use sablepass_core::sharers::Sharers;
 use sablepass_edge::instance::Instance;
-use sablepass_edge::mesh::{PeerKey, Wanted};
+use sablepass_edge::mesh::{PeerKey, RequiredPeer};
 
 /// How long a connection that was opened to reach the owner of a key is kept.
 const OWNER_LINK_RETENTION: Millis = 60_000;
@@ -217,11 +217,11 @@
 
     /// The processes to connect to: agents of the declared targets in use, and agents of listed
     /// targets that have an engine.
-    pub fn wanted_peers(&mut self, now: Millis) -> Vec<Wanted> {
+    pub fn wanted_peers(&mut self, now: Millis) -> Vec<RequiredPeer> {
         self.wanted_owners.retain(|_, until| *until > now);
         let declared = self.subsets.values().flatten().chain(self.wanted_owners.keys());
         let declared = declared.filter(|it| self.catalogue.targets.contains_key(*it));
-        let mut wanted: Vec<Wanted> = declared.cloned().map(Wanted::Named).collect();
+        let mut wanted: Vec<RequiredPeer> = declared.cloned().map(RequiredPeer::Named).collect();
         let engine = |it: &&Listed| {
             let service = self.catalogue.services.get(&it.instance.serves);
             service.is_some_and(|it| it.engine.is_some())
@@ -229,7 +229,7 @@
         let beside = |port| {
             let ips = self.listed.values().filter(engine).map(|it| it.instance.addr.ip());
             let ips: BTreeSet<IpAddr> = ips.collect();
-            ips.into_iter().map(move |ip| Wanted::At(SocketAddr::new(ip, port)))
+            ips.into_iter().map(move |ip| RequiredPeer::At(SocketAddr::new(ip, port)))
         };
         wanted.extend(self.options.agent_port.map(beside).into_iter().flatten());
         wanted
--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -84,7 +84,7 @@
 
     /// Applies a new instance list. Returns what changed.
     pub fn apply_list(&mut self, now: Millis, list: &Listing) -> Changes {
-        let Listing { instances, revision, began, back } = list;
+        let Listing { instances, revision, first_read, recovered_at } = list;
         let era = revision.era;
         let before = std::mem::replace(&mut self.era, era);
         let mut changes = Changes::default();
@@ -92,7 +92,7 @@
             self.restored_at = now;
             changes.restored = true;
         }
-        let back = self.restored_at.max(*back);
+        let back = self.restored_at.max(*recovered_at);
         let first = self.first_list_at.is_none();
         if !instances.is_empty() {
             self.first_list_at.get_or_insert(now);
@@ -102,7 +102,7 @@
         let leaving = instances.iter().filter(|(_, it)| it.leaving);
         self.listed_leaving = leaving.map(|(name, _)| name.clone()).collect();
         for (name, instance) in instances.iter().filter(|(_, it)| it.role == Role::Target) {
-            if self.is_outdated(name, instance, *began) {
+            if self.is_outdated(name, instance, *first_read) {
                 continue;
             }
             if self.listed.get(name).is_some_and(|known| known.instance.born != instance.born) {
@@ -127,7 +127,7 @@
             }
         }
         let is_there = |name: &String| {
-            instances.get(name).is_some_and(|it| !self.is_outdated(name, it, *began))
+            instances.get(name).is_some_and(|it| !self.is_outdated(name, it, *first_read))
         };
         let missing: Vec<String> = self.listed.keys().filter(|it| !is_there(it)).cloned().collect();
         for name in missing {
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -19,7 +19,7 @@
 impl Router {
     pub(crate) fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
-        if let Some(suspended_ms) = self.suspension_detector.look(now) {
+        if let Some(suspended_ms) = self.suspension_detector.check(now) {
             slog::warn!(self.log, "process was suspended"; "for" => suspended_ms,
                 "requests" => self.requests.len());
             self.metrics.sleeps.inc();
