--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -304,10 +304,10 @@
             self.good = true;
             slog::info!(self.log, "target regained"; "target" => %self.target);
         }
-        let before = self.reading.as_ref().map(|it| it.report.born);
-        if before.is_some_and(|it| it != report.born) {
+        let before = self.reading.as_ref().map(|it| it.report.started_at);
+        if before.is_some_and(|it| it != report.started_at) {
             // Orders and votes are bound to the group's epoch, which ends with a rank.
-            slog::info!(self.log, "target started anew"; "born" => report.born);
+            slog::info!(self.log, "target started anew"; "born" => report.started_at);
             self.steps = Steps::default();
         }
         let busy = report.running + report.waiting > 0;
--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -362,7 +362,7 @@
         leaving: it.leaving,
         serves: it.service,
         capacity: it.slots,
-        born: it.born,
+        born: it.started_at,
         revision: Revision::default(),
     }
 }
