--- a/crates/sablepass-agent/src/run.rs
+++ b/crates/sablepass-agent/src/run.rs
@@ -12,7 +12,7 @@
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
 use sablepass_edge::clock;
-use sablepass_platform::answer::{self, Limit, Rest};
+use sablepass_platform::answer::{self, Limit, Pause};
 use stakker::sync::Channel;
 
 /// Bytes read from the target at once.
@@ -151,9 +151,9 @@
 
 fn said(job: &Job, head: ureq::http::response::Parts) -> Said {
     let meta = answer::decode(clock::now(), &ureq::http::Response::from_parts(head, ()));
-    let rest = match meta.rest {
-        Rest::For(it) => Some(it),
-        Rest::None | Rest::Unread => None,
+    let rest = match meta.pause {
+        Pause::For(it) => Some(it),
+        Pause::None | Pause::Unread => None,
     };
     Said { sent: job.sent, rest, limit: meta.limit }
 }
--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -10,7 +10,7 @@
 use sablepass_core::reason::Refusal;
 use sablepass_edge::client::{self, Outgoing};
 use sablepass_edge::clock;
-use sablepass_platform::answer::{self, Proof, Rest};
+use sablepass_platform::answer::{self, Pause, Proof};
 use sablepass_platform::request;
 use stakker::CX;
 
@@ -123,7 +123,7 @@
             TargetIncarnation { name: &target, started_at: born },
             meta.limit,
         );
-        if meta.rest != Rest::None || meta.proof != Proof::None {
+        if meta.pause != Pause::None || meta.proof != Proof::None {
             self.turned_away(
                 now,
                 carried,
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -10,7 +10,7 @@
 use sablepass_core::reason::Ignored;
 use sablepass_edge::clock;
 use sablepass_edge::mesh::PeerKey;
-use sablepass_platform::answer::{Limit, Meta, Proof, Rest};
+use sablepass_platform::answer::{Limit, Meta, Pause, Proof};
 use sablepass_wire::generated as wire;
 use sablepass_wire::notices::{self, Told};
 use stakker::call;
@@ -47,10 +47,10 @@
         status: u16,
         meta: &Meta,
     ) {
-        let (asked, rest) = match meta.rest {
-            Rest::None => ("nothing", None),
-            Rest::For(it) => ("rest", Some(it)),
-            Rest::Unread => ("unread", None),
+        let (asked, rest) = match meta.pause {
+            Pause::None => ("nothing", None),
+            Pause::For(it) => ("rest", Some(it)),
+            Pause::Unread => ("unread", None),
         };
         self.metrics.turned_away.with_label_values(&[asked]).inc();
         let begins = rest.is_some_and(|asked| self.targets.asked_for_rest(now, it, asked));
