--- a/crates/sablepass-agent/src/engine.rs
+++ b/crates/sablepass-agent/src/engine.rs
@@ -45,8 +45,8 @@
     fn call(&self) -> Call {
         match self {
             Self::Report => Call::get(engine::REPORT_PATH, CALL_TIME),
-            Self::Counts => Call::get(engine::PICKED_PATH, CALL_TIME),
-            Self::Lists => Call::get(engine::LISTS_PATH, CALL_TIME),
+            Self::Counts => Call::get(engine::EXPERT_COUNTS_PATH, CALL_TIME),
+            Self::Lists => Call::get(engine::EXPERT_LISTS_PATH, CALL_TIME),
             Self::Order(body) | Self::Prepare(body) => {
                 Call::post(engine::ORDER_PATH, body.clone(), ORDER_TIME)
             }
--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -24,7 +24,7 @@
 use sablepass_edge::caller::Answer;
 use sablepass_edge::mesh::PeerKey;
 use sablepass_edge::telemetry::Metrics;
-use sablepass_platform::engine::{self, Group, Lists, Picked};
+use sablepass_platform::engine::{self, ExpertCounts, Group, Lists};
 use sablepass_wire::generated::frame::Body;
 use slog::Logger;
 
@@ -350,10 +350,12 @@
                 list.push(Do::Ask(Ask::Report));
                 list
             }
-            (Ask::Counts, Ok(Answer { status: 200, body, .. })) => match engine::picked(body) {
-                Ok(it) => self.picked(now, it),
-                Err(e) => self.not_decoded(&e),
-            },
+            (Ask::Counts, Ok(Answer { status: 200, body, .. })) => {
+                match engine::expert_counts(body) {
+                    Ok(it) => self.picked(now, it),
+                    Err(e) => self.not_decoded(&e),
+                }
+            }
             (Ask::Lists, Ok(Answer { status: 200, body, .. })) => match engine::lists(body) {
                 Ok(it) => {
                     self.lists = Some(it);
@@ -372,7 +374,7 @@
         Vec::new()
     }
 
-    fn picked(&mut self, now: Millis, it: Picked) -> Vec<Do> {
+    fn picked(&mut self, now: Millis, it: ExpertCounts) -> Vec<Do> {
         let Some(group) = &self.group else { return Vec::new() };
         if it.epoch != group.reading.epoch {
             return Vec::new();
