--- a/crates/sablepass-agent/src/memory.rs
+++ b/crates/sablepass-agent/src/memory.rs
@@ -9,7 +9,7 @@
 use sablepass_wire::convert::Error;
 use sablepass_wire::generated as wire;
 use sablepass_wire::generated::frame::Body;
-use sablepass_wire::suspects::Told;
+use sablepass_wire::suspects::Evidence;
 
 /// The memory.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
 impl Memory {
     /// Takes what an entry tells.
     pub fn take(&mut self, now: Millis, it: wire::Suspects) -> Result<(), Error> {
-        let told = Told::parse(it)?;
+        let told = Evidence::parse(it)?;
         for (request, death) in told.deaths {
             self.suspects.record(now, request, death);
         }
@@ -33,7 +33,7 @@
     /// What an entry is told that has just connected, if there is anything.
     pub fn recall(&self, now: Millis) -> Option<Body> {
         let held = self.suspects.blocked(now).map(|(it, death)| (it, death.clone()));
-        let told = Told { deaths: held.collect(), sound: Vec::new() };
+        let told = Evidence { deaths: held.collect(), sound: Vec::new() };
         (!told.is_empty()).then(|| told.body())
     }
 }
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -12,7 +12,7 @@
 use sablepass_edge::mesh::PeerKey;
 use sablepass_platform::answer::{Limit, Meta, Pause, Proof};
 use sablepass_wire::generated as wire;
-use sablepass_wire::notices::{self, Told};
+use sablepass_wire::notices::{self, Announcements};
 use stakker::call;
 
 use crate::pool::Carried;
@@ -120,7 +120,7 @@
             Change::Set(rate) => Some(rate),
             Change::Ended => None,
         };
-        self.tell(&Told { limits: vec![(it, rate)], ..Told::default() });
+        self.tell(&Announcements { limits: vec![(it, rate)], ..Announcements::default() });
     }
 
     /// Takes what the agent before a target says of its limit.
@@ -187,10 +187,10 @@
 
     /// Tells the other entries that a target leaves.
     pub(crate) fn tell_leaving(&self, it: TargetIncarnation<'_>) {
-        self.tell(&Told { leaving: vec![it], ..Told::default() });
+        self.tell(&Announcements { leaving: vec![it], ..Announcements::default() });
     }
 
-    fn tell(&self, it: &Told<'_>) {
+    fn tell(&self, it: &Announcements<'_>) {
         let body = it.body();
         for peer in self.watch.entries() {
             call!([self.mesh], send(peer, body.clone()));
@@ -206,7 +206,8 @@
     /// Tells an entry that connects which targets leave, and their limits.
     pub(crate) fn tell_all_notices(&self, peer: PeerKey) {
         let limits = self.targets.limits().map(|(it, limit)| (it, Some(limit.rate())));
-        let told = Told { leaving: self.targets.left().collect(), limits: limits.collect() };
+        let told =
+            Announcements { leaving: self.targets.left().collect(), limits: limits.collect() };
         if !told.is_empty() {
             call!([self.mesh], send(peer, told.body()));
         }
@@ -227,7 +228,7 @@
         }
         if !news.is_empty() {
             // Entries that know each other by seeds are connected to those only.
-            self.tell(&Told { leaving: news, ..Told::default() });
+            self.tell(&Announcements { leaving: news, ..Announcements::default() });
         }
         for (it, rate) in told.limits {
             if !self.keeps_word(it) {
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -16,7 +16,7 @@
 use sablepass_edge::clock;
 use sablepass_edge::mesh::PeerKey;
 use sablepass_wire::generated as wire;
-use sablepass_wire::suspects::Told;
+use sablepass_wire::suspects::Evidence;
 use stakker::{CX, after, call};
 
 use crate::open::Open;
@@ -70,7 +70,7 @@
     /// Connections to other entries, with their names.
     entries: BTreeMap<PeerKey, String>,
     /// What the other entries have not been told yet.
-    untold: Told,
+    untold: Evidence,
     probes: Probes,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Records a connection to another entry, which is told all that is known.
-    pub(crate) fn entry_up(&mut self, peer: PeerKey, name: &str) -> Option<Told> {
+    pub(crate) fn entry_up(&mut self, peer: PeerKey, name: &str) -> Option<Evidence> {
         self.entries.insert(peer, name.to_owned());
         Some(told(self.suspects.deaths())).filter(|it| !it.is_empty())
     }
@@ -97,15 +97,15 @@
     }
 
     /// What a process beside a target is to remember.
-    pub(crate) fn held(&self, now: Millis) -> Option<Told> {
+    pub(crate) fn held(&self, now: Millis) -> Option<Evidence> {
         Some(told(self.suspects.blocked(now))).filter(|it| !it.is_empty())
     }
 
     /// The next message to the other entries.
-    fn next_told(&mut self) -> Option<Told> {
+    fn next_told(&mut self) -> Option<Evidence> {
         let deaths = self.untold.deaths.len().min(BATCH);
         let sound = self.untold.sound.len().min(BATCH);
-        let told = Told {
+        let told = Evidence {
             deaths: self.untold.deaths.drain(..deaths).collect(),
             sound: self.untold.sound.drain(..sound).collect(),
         };
@@ -137,9 +137,9 @@
     }
 }
 
-fn told<'a>(deaths: impl Iterator<Item = (Fingerprint, &'a Death)>) -> Told {
+fn told<'a>(deaths: impl Iterator<Item = (Fingerprint, &'a Death)>) -> Evidence {
     let deaths = deaths.map(|(it, death)| (it, death.clone()));
-    Told { deaths: deaths.collect(), sound: Vec::new() }
+    Evidence { deaths: deaths.collect(), sound: Vec::new() }
 }
 
 impl Router {
@@ -210,7 +210,7 @@
 
     /// Takes what another process tells of requests.
     pub(crate) fn told_suspects(&mut self, cx: CX![], peer: PeerKey, it: wire::Suspects) {
-        let Ok(told) = Told::parse(it) else {
+        let Ok(told) = Evidence::parse(it) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
--- a/crates/sablepass-wire/src/notices.rs
+++ b/crates/sablepass-wire/src/notices.rs
@@ -16,14 +16,14 @@
 
 /// What a message tells.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told<'a> {
+pub struct Announcements<'a> {
     /// Lives of targets that leave.
     pub leaving: Vec<TargetIncarnation<'a>>,
     /// Limits.
     pub limits: Vec<Limit<'a>>,
 }
 
-impl Told<'_> {
+impl Announcements<'_> {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.leaving.is_empty() && self.limits.is_empty()
@@ -48,11 +48,11 @@
 }
 
 /// Reads a message.
-pub fn parse(it: &wire::Notices) -> Result<Told<'_>, Error> {
+pub fn parse(it: &wire::Notices) -> Result<Announcements<'_>, Error> {
     let leaving: Result<Vec<TargetIncarnation<'_>>, Error> =
         it.notices.iter().map(|it| life("notice", &it.target, it.born)).collect();
     let limits: Result<Vec<Limit<'_>>, Error> = it.limits.iter().map(limit).collect();
-    Ok(Told { leaving: leaving?, limits: limits? })
+    Ok(Announcements { leaving: leaving?, limits: limits? })
 }
 
 fn limit(it: &wire::Limit) -> Result<Limit<'_>, Error> {
--- a/crates/sablepass-wire/src/suspects.rs
+++ b/crates/sablepass-wire/src/suspects.rs
@@ -13,14 +13,14 @@
 
 /// What one message tells.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Evidence {
     /// Targets that ended, with the requests that they held.
     pub deaths: Vec<(Fingerprint, Death)>,
     /// Requests that a target ran to their end.
     pub sound: Vec<Fingerprint>,
 }
 
-impl Told {
+impl Evidence {
     /// Whether it tells nothing.
     pub fn is_empty(&self) -> bool {
         self.deaths.is_empty() && self.sound.is_empty()
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -169,7 +169,7 @@
 #[test]
 fn verify_limits_and_turns_come_back_as_they_were_told() {
     let life = TargetIncarnation { name: "i-1", started_at: 7 };
-    let told = notices::Told {
+    let told = notices::Announcements {
         leaving: vec![life],
         limits: vec![
             (life, Rate::new(0.25)),
