--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -169,7 +169,10 @@
         }
         let (target, peer) = asked[self.rng.random_range(0..asked.len())];
         let life = TargetIncarnation { name: target, started_at: self.targets.born(target) };
-        call!([self.mesh], send(peer, turns::ask(Ask { target: life, request: id, most })));
+        call!(
+            [self.mesh],
+            send(peer, turns::ask(Ask { target: life, request: id, max_wait: most }))
+        );
         if let Some(open) = self.open.get_mut(&id) {
             open.sought = true;
             open.waiting = Some(now);
@@ -221,7 +224,7 @@
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
-        let turn = self.targets.reserve(clock::now(), it.target, it.most);
+        let turn = self.targets.reserve(clock::now(), it.target, it.max_wait);
         let outcome = if matches!(turn, Turn::In(_)) { "granted" } else { "denied" };
         self.metrics.turns.with_label_values(&[outcome]).inc();
         call!([self.mesh], send(peer, turns::answer(Answer { request: it.request, turn })));
--- a/crates/sablepass-wire/src/turns.rs
+++ b/crates/sablepass-wire/src/turns.rs
@@ -22,7 +22,7 @@
     /// The request.
     pub request: RequestId,
     /// The longest wait of any use, in milliseconds.
-    pub most: Millis,
+    pub max_wait: Millis,
 }
 
 /// An answer.
@@ -40,7 +40,7 @@
         target: it.target.name.to_owned(),
         born: it.target.started_at,
         request: convert::request_bytes(it.request),
-        most: u32::try_from(it.most).unwrap_or(u32::MAX),
+        most: u32::try_from(it.max_wait).unwrap_or(u32::MAX),
     })
 }
 
@@ -48,7 +48,7 @@
 pub fn parse_ask(it: &wire::TurnAsk) -> Result<Ask<'_>, Error> {
     const MESSAGE: &str = "turn ask";
     let target = notices::life(MESSAGE, &it.target, it.born)?;
-    Ok(Ask { target, request: request(MESSAGE, &it.request)?, most: it.most.into() })
+    Ok(Ask { target, request: request(MESSAGE, &it.request)?, max_wait: it.most.into() })
 }
 
 /// The message of an answer.
--- a/crates/sablepass-wire/tests/wire.rs
+++ b/crates/sablepass-wire/tests/wire.rs
@@ -179,7 +179,7 @@
     let Body::Notices(it) = told.body() else { panic!("notices") };
     assert_eq!(notices::parse(&it).expect("parses"), told);
     let request = RequestId(9);
-    let ask = turns::Ask { target: life, request, most: 120 };
+    let ask = turns::Ask { target: life, request, max_wait: 120 };
     let Body::TurnAsk(it) = turns::ask(ask) else { panic!("an ask") };
     assert_eq!(turns::parse_ask(&it).expect("parses"), ask);
     for turn in [Turn::In(0), Turn::In(90), Turn::TooLate(4_000), Turn::Never] {
