--- a/crates/sablepass-wire/src/lib.rs
+++ b/crates/sablepass-wire/src/lib.rs
@@ -1,10 +1,10 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Messages between the processes of sablepass, and their framing.
+//! Messages between the processes of sablepass, and their framing. Used by entries and agents.
 //!
-//! Invariant: whatever leaves [`convert`] is a valid core value; a message
-//! that lacks a field is a typed error here and goes no further.
+//! Received messages are validated here: [`convert`] and the modules beside it return either a
+//! valid value of `sablepass_core` or an [error](convert::Error).
 
 pub mod convert;
 pub mod frame;
@@ -13,7 +13,7 @@
 pub mod suspects;
 pub mod turns;
 
-/// Code that `examples/generate.rs` writes from `proto/sablepass.proto`.
+/// Message types, generated from `proto/sablepass.proto` by `examples/generate.rs`.
 #[rustfmt::skip]
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod generated;
