--- a/crates/sablepass-wire/src/frame.rs
+++ b/crates/sablepass-wire/src/frame.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Frames on a byte stream: a four-byte length and one message.
+//! Frames on a byte stream: a four-byte big-endian length and one encoded message.
 
 use bytes::{Bytes, BytesMut};
 use prost::Message;
@@ -10,20 +10,20 @@
 
 use crate::generated::{self, frame::Body};
 
-/// Longest frame in bytes: a delta with one document of the platform's
-/// limit, twice (newest and accepted), and room for the rest.
-pub const FRAME_LIMIT: usize = 4 << 20;
+/// Maximum length of a frame in bytes. Sufficient for a delta with one document of the maximum
+/// size that the platform allows, in its newest and its accepted version, and the other fields.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Why bytes are not a frame.
+/// Error in reading or writing a frame.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The length is over the limit, or the stream is out of step.
+    /// The length exceeds the limit, possibly because the stream is not aligned to frames.
     #[snafu(display("frame length: {source}"))]
     Length {
         /// The codec's error.
         source: std::io::Error,
     },
-    /// The message does not decode.
+    /// The message cannot be decoded.
     #[snafu(display("message: {source}"))]
     Decode {
         /// The decoder's error.
@@ -34,7 +34,7 @@
     Empty,
 }
 
-/// Splits bytes into messages and makes bytes of messages.
+/// Splits a byte stream into messages, and encodes messages.
 #[derive(Debug)]
 pub struct Codec {
     lengths: LengthDelimitedCodec,
@@ -48,18 +48,19 @@
 }
 
 impl Codec {
-    /// Opens a codec with empty buffers.
+    /// Creates a codec with empty buffers.
     pub fn open() -> Self {
-        let lengths = LengthDelimitedCodec::builder().max_frame_length(FRAME_LIMIT).new_codec();
+        let lengths = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
         Self { lengths, input: BytesMut::new() }
     }
 
-    /// Takes bytes that arrived.
+    /// Adds received bytes to the input buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// The next whole message and its size in bytes, if there is one.
+    /// Returns the next message and its encoded size in bytes, or `None` if the buffer has no
+    /// complete frame.
     pub fn next_body(&mut self) -> Result<Option<(Body, usize)>, Error> {
         let Some(frame) = self.lengths.decode(&mut self.input).context(LengthSnafu)? else {
             return Ok(None);
@@ -70,7 +71,7 @@
         Ok(Some((body, size)))
     }
 
-    /// Appends a message's bytes to `out`.
+    /// Appends the frame of a message to `out`.
     pub fn encode(&mut self, body: Body, out: &mut Vec<u8>) -> Result<(), Error> {
         let frame = generated::Frame { body: Some(body) };
         let mut bytes = BytesMut::new();
@@ -81,7 +82,7 @@
     }
 }
 
-/// The label of a message kind, for the counters of control traffic.
+/// Returns the metric label of a message's kind, for the counters of messages and bytes.
 pub fn kind(body: &Body) -> &'static str {
     match body {
         Body::Hello(_) => "hello",
