--- a/crates/sablepass-wire/src/removals.rs
+++ b/crates/sablepass-wire/src/removals.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What entries tell each other of instances that were removed from the list.
+//! Messages by which entries inform each other of instances that were removed from the instance
+//! list.
 
 use sablepass_core::revision::Revision;
 
@@ -9,27 +10,27 @@
 use crate::generated as wire;
 use crate::generated::frame::Body;
 
-/// A removed instance, and the revision of its removal.
+/// Key of a removed instance, and the revision of its removal.
 pub type Removal<'a> = (&'a str, Revision);
 
-/// The message that tells of removals.
+/// Builds the message.
 pub fn body(removals: &[Removal<'_>]) -> Body {
-    let one = |(key, at): &Removal<'_>| wire::Removal {
+    let message = |(key, revision): &Removal<'_>| wire::Removal {
         key: (*key).to_owned(),
-        revision: at.number,
-        era: at.era,
+        revision: revision.number,
+        era: revision.era,
     };
-    Body::Removals(wire::Removals { removals: removals.iter().map(one).collect() })
+    Body::Removals(wire::Removals { removals: removals.iter().map(message).collect() })
 }
 
-/// Reads a message.
-pub fn parse(it: &wire::Removals) -> Result<Vec<Removal<'_>>, Error> {
-    it.removals.iter().map(removal).collect()
+/// Reads a message. Every removal must have a key.
+pub fn parse(message: &wire::Removals) -> Result<Vec<Removal<'_>>, Error> {
+    message.removals.iter().map(removal).collect()
 }
 
-fn removal(it: &wire::Removal) -> Result<Removal<'_>, Error> {
-    if it.key.is_empty() {
+fn removal(message: &wire::Removal) -> Result<Removal<'_>, Error> {
+    if message.key.is_empty() {
         return Err(Error::Field { message: "removal", field: "key" });
     }
-    Ok((&it.key, Revision::new(it.era, it.revision)))
+    Ok((&message.key, Revision::new(message.era, message.revision)))
 }
