--- a/crates/sablepass-wire/src/suspects.rs
+++ b/crates/sablepass-wire/src/suspects.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What processes tell each other of requests under which targets ended.
+//! Messages by which entries and agents share the evidence about requests that may have crashed
+//! their targets.
 
 use bytes::Bytes;
 use sablepass_core::fingerprint::Fingerprint;
@@ -11,25 +12,25 @@
 use crate::generated as wire;
 use crate::generated::frame::Body;
 
-/// What one message tells.
+/// Content of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Targets that ended, with the requests that they held.
+    /// Ends of targets, each with a request that the target was running.
     pub deaths: Vec<(Fingerprint, Death)>,
-    /// Requests that a target ran to their end.
+    /// Requests that completed successfully at a target.
     pub sound: Vec<Fingerprint>,
 }
 
 impl Evidence {
-    /// Whether it tells nothing.
+    /// Returns whether the message would be empty.
     pub fn is_empty(&self) -> bool {
         self.deaths.is_empty() && self.sound.is_empty()
     }
 
-    /// The message.
+    /// Builds the message.
     pub fn body(&self) -> Body {
-        let death = |(it, death): &(Fingerprint, Death)| wire::Death {
-            request: bytes(*it),
+        let death = |(request, death): &(Fingerprint, Death)| wire::Death {
+            request: bytes(*request),
             target: death.target.clone(),
             born: death.born,
             sent: death.sent,
@@ -41,25 +42,31 @@
         })
     }
 
-    /// Reads a message.
-    pub fn parse(it: wire::Suspects) -> Result<Self, Error> {
-        let deaths: Result<Vec<_>, Error> = it.deaths.into_iter().map(parse_death).collect();
-        let sound: Result<Vec<_>, Error> = it.sound.iter().map(|it| fingerprint(it)).collect();
+    /// Reads a message. Every target must have a name, and must not have ended before the request
+    /// was sent.
+    pub fn parse(message: wire::Suspects) -> Result<Self, Error> {
+        let deaths: Result<Vec<_>, Error> = message.deaths.into_iter().map(parse_death).collect();
+        let sound: Result<Vec<_>, Error> = message.sound.iter().map(|it| fingerprint(it)).collect();
         Ok(Self { deaths: deaths?, sound: sound? })
     }
 }
 
-fn parse_death(it: wire::Death) -> Result<(Fingerprint, Death), Error> {
-    let request = fingerprint(&it.request)?;
-    if it.target.is_empty() || it.sent > it.ended {
+fn parse_death(message: wire::Death) -> Result<(Fingerprint, Death), Error> {
+    let request = fingerprint(&message.request)?;
+    if message.target.is_empty() || message.sent > message.ended {
         return Err(Error::Field { message: "death", field: "target, sent or ended" });
     }
-    let death = Death { target: it.target, born: it.born, sent: it.sent, ended: it.ended };
+    let death = Death {
+        target: message.target,
+        born: message.born,
+        sent: message.sent,
+        ended: message.ended,
+    };
     Ok((request, death))
 }
 
-fn bytes(it: Fingerprint) -> Bytes {
-    Bytes::copy_from_slice(&it.0.to_be_bytes())
+fn bytes(fingerprint: Fingerprint) -> Bytes {
+    Bytes::copy_from_slice(&fingerprint.0.to_be_bytes())
 }
 
 fn fingerprint(bytes: &[u8]) -> Result<Fingerprint, Error> {
