--- a/crates/sablepass-wire/src/notices.rs
+++ b/crates/sablepass-wire/src/notices.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What entries tell each other of targets: which said that they leave, and what they
-//! take from all entries together.
+//! Messages by which entries forward the notices of targets to each other: which targets are
+//! leaving, and their limits to the requests from all entries together.
 
 use sablepass_core::id::TargetIncarnation;
 use sablepass_core::limits::Rate;
@@ -11,33 +11,33 @@
 use crate::generated as wire;
 use crate::generated::frame::Body;
 
-/// A limit as told; none if the target names none any more.
+/// Limit of a target's incarnation; `None` if the target no longer has a limit.
 pub type Limit<'a> = (TargetIncarnation<'a>, Option<Rate>);
 
-/// What a message tells.
+/// Content of a message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Announcements<'a> {
-    /// Lives of targets that leave.
+    /// Incarnations of targets that are leaving.
     pub leaving: Vec<TargetIncarnation<'a>>,
-    /// Limits.
+    /// Limits of targets.
     pub limits: Vec<Limit<'a>>,
 }
 
 impl Announcements<'_> {
-    /// Whether there is nothing to tell.
+    /// Returns whether the message would be empty.
     pub fn is_empty(&self) -> bool {
         self.leaving.is_empty() && self.limits.is_empty()
     }
 
-    /// The message.
+    /// Builds the message.
     pub fn body(&self) -> Body {
-        let notice = |it: &TargetIncarnation<'_>| wire::Notice {
-            target: it.name.to_owned(),
-            born: it.started_at,
+        let notice = |target: &TargetIncarnation<'_>| wire::Notice {
+            target: target.name.to_owned(),
+            born: target.started_at,
         };
-        let limit = |(it, rate): &Limit<'_>| wire::Limit {
-            target: it.name.to_owned(),
-            born: it.started_at,
+        let limit = |(target, rate): &Limit<'_>| wire::Limit {
+            target: target.name.to_owned(),
+            born: target.started_at,
             rate: rate.map(Rate::per_second),
         };
         Body::Notices(wire::Notices {
@@ -47,32 +47,32 @@
     }
 }
 
-/// Reads a message.
-pub fn parse(it: &wire::Notices) -> Result<Announcements<'_>, Error> {
+/// Reads a message. Every target must have a name and every rate must be valid.
+pub fn parse(message: &wire::Notices) -> Result<Announcements<'_>, Error> {
     let leaving: Result<Vec<TargetIncarnation<'_>>, Error> =
-        it.notices.iter().map(|it| life("notice", &it.target, it.born)).collect();
-    let limits: Result<Vec<Limit<'_>>, Error> = it.limits.iter().map(limit).collect();
+        message.notices.iter().map(|it| incarnation("notice", &it.target, it.born)).collect();
+    let limits: Result<Vec<Limit<'_>>, Error> = message.limits.iter().map(limit).collect();
     Ok(Announcements { leaving: leaving?, limits: limits? })
 }
 
-fn limit(it: &wire::Limit) -> Result<Limit<'_>, Error> {
-    Ok((life("limit", &it.target, it.born)?, rate("limit", it.rate)?))
+fn limit(message: &wire::Limit) -> Result<Limit<'_>, Error> {
+    Ok((incarnation("limit", &message.target, message.born)?, rate("limit", message.rate)?))
 }
 
-/// Reads a life of a target.
-pub(crate) fn life<'a>(
+/// Reads the name and start time of a target. `message` names the kind of message in the error.
+pub(crate) fn incarnation<'a>(
     message: &'static str,
     name: &'a str,
-    born: u64,
+    started_at: u64,
 ) -> Result<TargetIncarnation<'a>, Error> {
     if name.is_empty() {
         return Err(Error::Field { message, field: "target" });
     }
-    Ok(TargetIncarnation { name, started_at: born })
+    Ok(TargetIncarnation { name, started_at })
 }
 
-/// Reads a rate, if there is one.
-pub(crate) fn rate(message: &'static str, it: Option<f64>) -> Result<Option<Rate>, Error> {
-    let Some(it) = it else { return Ok(None) };
-    Rate::new(it).map(Some).ok_or(Error::Field { message, field: "rate" })
+/// Reads an optional rate, in requests per second.
+pub(crate) fn rate(message: &'static str, value: Option<f64>) -> Result<Option<Rate>, Error> {
+    let Some(value) = value else { return Ok(None) };
+    Rate::new(value).map(Some).ok_or(Error::Field { message, field: "rate" })
 }
--- a/crates/sablepass-wire/src/turns.rs
+++ b/crates/sablepass-wire/src/turns.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! How an entry asks another one, that holds a target's limit, when it may send a request.
+//! Messages by which an entry asks another entry, which has a share of a target's limit, for
+//! permission to send a request to the target.
 
 use sablepass_core::id::{Millis, RequestId, TargetIncarnation};
 use sablepass_core::limits::Turn;
@@ -11,66 +12,66 @@
 use crate::generated::frame::Body;
 use crate::notices;
 
-/// The wait of an answer by an entry that holds no limit of the target.
-const NEVER: u32 = u32::MAX;
+/// Wait in the answer of an entry that has no share of the target's limit.
+const NO_SHARE: u32 = u32::MAX;
 
-/// A question.
+/// A request for permission to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask<'a> {
-    /// Where the request is to be sent.
+    /// Target of the request.
     pub target: TargetIncarnation<'a>,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The longest wait of any use, in milliseconds.
+    /// Longest useful wait, in milliseconds; a later permission would not be used.
     pub max_wait: Millis,
 }
 
-/// An answer.
+/// Answer to a request for permission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// When it may be sent.
+    /// When the request may be sent.
     pub turn: Turn,
 }
 
-/// The message of a question.
-pub fn ask(it: Ask<'_>) -> Body {
+/// Builds the message that asks for permission.
+pub fn ask(ask: Ask<'_>) -> Body {
     Body::TurnAsk(wire::TurnAsk {
-        target: it.target.name.to_owned(),
-        born: it.target.started_at,
-        request: convert::request_bytes(it.request),
-        most: u32::try_from(it.max_wait).unwrap_or(u32::MAX),
+        target: ask.target.name.to_owned(),
+        born: ask.target.started_at,
+        request: convert::request_bytes(ask.request),
+        most: u32::try_from(ask.max_wait).unwrap_or(u32::MAX),
     })
 }
 
-/// Reads a question.
-pub fn parse_ask(it: &wire::TurnAsk) -> Result<Ask<'_>, Error> {
+/// Reads the message that asks for permission.
+pub fn parse_ask(message: &wire::TurnAsk) -> Result<Ask<'_>, Error> {
     const MESSAGE: &str = "turn ask";
-    let target = notices::life(MESSAGE, &it.target, it.born)?;
-    Ok(Ask { target, request: request(MESSAGE, &it.request)?, max_wait: it.most.into() })
+    let target = notices::incarnation(MESSAGE, &message.target, message.born)?;
+    Ok(Ask { target, request: request(MESSAGE, &message.request)?, max_wait: message.most.into() })
 }
 
-/// The message of an answer.
-pub fn answer(it: Answer) -> Body {
-    let wait = |it: Millis| u32::try_from(it).unwrap_or(NEVER).min(NEVER - 1);
-    let (granted, wait) = match it.turn {
-        Turn::In(it) => (true, wait(it)),
-        Turn::TooLate(it) => (false, wait(it)),
-        Turn::Never => (false, NEVER),
+/// Builds the answer. A wait that does not fit is sent as the longest one.
+pub fn answer(answer: Answer) -> Body {
+    let encode = |wait: Millis| u32::try_from(wait).unwrap_or(NO_SHARE).min(NO_SHARE - 1);
+    let (granted, wait) = match answer.turn {
+        Turn::In(wait) => (true, encode(wait)),
+        Turn::TooLate(wait) => (false, encode(wait)),
+        Turn::Never => (false, NO_SHARE),
     };
-    let request = convert::request_bytes(it.request);
+    let request = convert::request_bytes(answer.request);
     Body::TurnAnswer(wire::TurnAnswer { request, granted, wait })
 }
 
-/// Reads an answer.
-pub fn parse_answer(it: &wire::TurnAnswer) -> Result<Answer, Error> {
-    let turn = match (it.granted, it.wait) {
-        (_, NEVER) => Turn::Never,
+/// Reads the answer.
+pub fn parse_answer(message: &wire::TurnAnswer) -> Result<Answer, Error> {
+    let turn = match (message.granted, message.wait) {
+        (_, NO_SHARE) => Turn::Never,
         (true, wait) => Turn::In(wait.into()),
         (false, wait) => Turn::TooLate(wait.into()),
     };
-    Ok(Answer { request: request("turn answer", &it.request)?, turn })
+    Ok(Answer { request: request("turn answer", &message.request)?, turn })
 }
 
 fn request(message: &'static str, bytes: &[u8]) -> Result<RequestId, Error> {
