--- a/crates/sablepass-wire/src/generated.rs
+++ b/crates/sablepass-wire/src/generated.rs
@@ -65,7 +65,7 @@
         Removals(super::Removals),
     }
 }
-/// First frame in each direction of a connection.
+/// First message in each direction of a connection.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Hello {
     #[prost(string, tag = "1")]
@@ -74,14 +74,15 @@
     pub role: ::prost::alloc::string::String,
     #[prost(string, tag = "3")]
     pub hall: ::prost::alloc::string::String,
-    /// Random number drawn when the process started.
+    /// Random number that the process chose when it started.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// The connection was made to spread what is held, with a digest every second.
+    /// The connection was opened to replicate the configuration and the instance list, with a digest
+    /// every second.
     #[prost(bool, tag = "5")]
     pub spread: bool,
 }
-/// The entries that the sender is connected to, told to entries.
+/// Names of the entries that the sender is connected to. Sent to entries.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Entries {
     #[prost(string, repeated, tag = "1")]
@@ -94,7 +95,7 @@
     pub request: ::prost::bytes::Bytes,
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// The agent incarnation this attempt is meant for.
+    /// Incarnation of the agent that the attempt is intended for.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
     #[prost(fixed64, tag = "4")]
@@ -106,10 +107,10 @@
     /// The request must not run more than once.
     #[prost(bool, tag = "7")]
     pub unsafe_repeat: bool,
-    /// Idempotency key, scoped by customer; empty when none.
+    /// Idempotency key, unique for the customer; empty if there is none.
     #[prost(string, tag = "8")]
     pub key: ::prost::alloc::string::String,
-    /// When the caller made the key; 0 when not said.
+    /// When the caller created the key; 0 if not given.
     #[prost(fixed64, tag = "9")]
     pub issued: u64,
     #[prost(string, tag = "10")]
@@ -121,6 +122,7 @@
     #[prost(bytes = "bytes", tag = "13")]
     pub body: ::prost::bytes::Bytes,
 }
+/// Cancels an attempt.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Cancel {
     #[prost(bytes = "bytes", tag = "1")]
@@ -128,27 +130,30 @@
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
 }
-/// Asks whether an attempt was seen, and blocks it from then on if not.
+/// Asks for the state of an attempt. An attempt that the agent has not received is blocked, so that
+/// it will not run if it arrives later.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Probe {
     #[prost(bytes = "bytes", tag = "1")]
     pub request: ::prost::bytes::Bytes,
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// Bytes of the answer already received.
+    /// Number of bytes of the answer that were received.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
 }
+/// Answer to a probe.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Verdict {
     #[prost(bytes = "bytes", tag = "1")]
     pub request: ::prost::bytes::Bytes,
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// 0 blocked (never ran, never will), 1 running, 2 finished, 3 forgotten.
+    /// 0 blocked (did not run and never will), 1 running, 2 finished, 3 forgotten.
     #[prost(uint32, tag = "3")]
     pub verdict: u32,
 }
+/// Head of the answer to an attempt.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Head {
     #[prost(bytes = "bytes", tag = "1")]
@@ -159,10 +164,11 @@
     pub status: u32,
     #[prost(string, tag = "4")]
     pub content_type: ::prost::alloc::string::String,
-    /// The answer is a recorded one of an earlier post of the same key.
+    /// The answer is the recorded answer to an earlier request with the same idempotency key.
     #[prost(bool, tag = "5")]
     pub replayed: bool,
 }
+/// Part of the body of an answer.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Chunk {
     #[prost(bytes = "bytes", tag = "1")]
@@ -174,6 +180,7 @@
     #[prost(bytes = "bytes", tag = "4")]
     pub data: ::prost::bytes::Bytes,
 }
+/// End of an answer, with the length of its body in bytes.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Done {
     #[prost(bytes = "bytes", tag = "1")]
@@ -183,7 +190,7 @@
     #[prost(uint64, tag = "3")]
     pub length: u64,
 }
-/// The agent did not run the attempt and never will.
+/// The agent refused the attempt: it did not run and never will.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Refused {
     #[prost(bytes = "bytes", tag = "1")]
@@ -193,7 +200,7 @@
     #[prost(uint32, tag = "3")]
     pub reason: u32,
 }
-/// The target failed the attempt.
+/// The attempt failed at the target.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Failed {
     #[prost(bytes = "bytes", tag = "1")]
@@ -202,68 +209,72 @@
     pub attempt: u32,
     #[prost(uint32, tag = "3")]
     pub reason: u32,
-    /// 0 not run, 1 ran, 2 unknown.
+    /// Whether the request ran: 0 not run, 1 ran, 2 unknown.
     #[prost(uint32, tag = "4")]
     pub ran: u32,
 }
 /// Heartbeat of an agent.
 #[derive(Clone, Copy, PartialEq, ::prost::Message)]
 pub struct Report {
+    /// Number of requests that the agent has admitted.
     #[prost(uint32, tag = "1")]
     pub in_flight: u32,
+    /// Number of requests that the agent may admit at once.
     #[prost(uint32, tag = "2")]
     pub capacity: u32,
+    /// Number of requests at the target, as its engine reported.
     #[prost(uint32, tag = "3")]
     pub engine_load: u32,
-    /// Age of engine_load in milliseconds.
+    /// Age of engine_load in milliseconds; the maximum if there is no reading.
     #[prost(uint32, tag = "4")]
     pub load_age: u32,
     #[prost(bool, tag = "5")]
     pub leaving: bool,
-    /// The target refuses connections.
+    /// The target takes no work for now: it refuses connections, or its group is not ready.
     #[prost(bool, tag = "6")]
     pub away: bool,
-    /// How long the target takes, where others wait for it: 0 as it should, 1
-    /// longer, 2 so long that what runs there had better go on elsewhere.
+    /// Speed of a target whose group runs in lock-step: 0 usual, 1 slow, 2 severely degraded, so that
+    /// its running requests should move to other targets.
     #[prost(uint32, tag = "7")]
     pub pace: u32,
-    /// Ranks of the target's group; 0 if it is a rank of none.
+    /// Number of ranks in the target's group; 0 if it belongs to no group.
     #[prost(uint32, tag = "8")]
     pub size: u32,
-    /// Thousandths of the mean that the rank with most of the experts' work has,
-    /// told beside the rank that plans its group's maps; 0 by others.
+    /// Load of the rank with most of the experts' work, in thousandths of the mean. Sent by the agent
+    /// that plans its group's maps; 0 from other agents.
     #[prost(uint32, tag = "9")]
     pub lag: u32,
-    /// Entries connected to the agent.
+    /// Number of entries connected to the agent.
     #[prost(uint32, tag = "10")]
     pub entries: u32,
-    /// Hash of the name of the target's group; 0 if it is a rank of none.
+    /// Hash of the name of the target's group; 0 if it belongs to no group.
     #[prost(fixed32, tag = "11")]
     pub group: u32,
-    /// The group makes no step although there is work.
+    /// The group is stalled: it runs no step although there is work.
     #[prost(bool, tag = "12")]
     pub stands: bool,
     /// The target refuses its agent's connections.
     #[prost(bool, tag = "13")]
     pub refuses: bool,
-    /// How many milliseconds longer the target wants nothing, as it asked its agent.
+    /// Remaining time of the pause that the target requested from its agent, in milliseconds.
     #[prost(uint64, tag = "14")]
     pub rest: u64,
-    /// Requests a second that the target takes, as it told its agent; none if it names no limit.
+    /// Limit that the target announced to its agent, in requests per second; absent if it has no
+    /// limit.
     #[prost(double, optional, tag = "15")]
     pub limit: ::core::option::Option<f64>,
 }
-/// What requests were seen to do to targets. Entries tell it each other, and the
-/// agents, whose memory outlasts the entries.
+/// Evidence about requests that may crash their targets. Sent between entries, and between entries
+/// and agents, which keep the evidence when entries restart.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Suspects {
     #[prost(message, repeated, tag = "1")]
     pub deaths: ::prost::alloc::vec::Vec<Death>,
-    /// Fingerprints, 16 bytes each, of requests that a target ran to their end.
+    /// Fingerprints, 16 bytes each, of requests that completed successfully at a target.
     #[prost(bytes = "bytes", repeated, tag = "2")]
     pub sound: ::prost::alloc::vec::Vec<::prost::bytes::Bytes>,
 }
-/// The end of a target that held a request.
+/// The end of a target that was running a request.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Death {
     /// Fingerprint of the request, 16 bytes.
@@ -271,17 +282,17 @@
     pub request: ::prost::bytes::Bytes,
     #[prost(string, tag = "2")]
     pub target: ::prost::alloc::string::String,
-    /// When that life of the target began; 0 if it does not say.
+    /// Start time of the target's incarnation; 0 if unknown.
     #[prost(fixed64, tag = "3")]
     pub born: u64,
-    /// When the request was sent there.
+    /// When the request was sent to the target.
     #[prost(fixed64, tag = "4")]
     pub sent: u64,
-    /// When the target broke off.
+    /// When the target interrupted the request.
     #[prost(fixed64, tag = "5")]
     pub ended: u64,
 }
-/// What targets said of themselves. Entries tell it each other.
+/// Notices of targets. Forwarded between entries.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Notices {
     #[prost(message, repeated, tag = "1")]
@@ -289,7 +300,8 @@
     #[prost(message, repeated, tag = "2")]
     pub limits: ::prost::alloc::vec::Vec<Limit>,
 }
-/// Instances that were removed from the list, and that a restored service may list again.
+/// Instances that were removed from the instance list. Sent between entries, because a store that
+/// was restored from a backup may list them again.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Removals {
     #[prost(message, repeated, tag = "1")]
@@ -305,71 +317,72 @@
     #[prost(uint64, tag = "3")]
     pub era: u64,
 }
-/// What a target takes from all entries together, for this life.
+/// Limit to the requests that an incarnation of a target accepts from all entries together.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Limit {
     #[prost(string, tag = "1")]
     pub target: ::prost::alloc::string::String,
-    /// When that life of the target began; 0 if it does not say.
+    /// Start time of the target's incarnation; 0 if unknown.
     #[prost(fixed64, tag = "2")]
     pub born: u64,
-    /// Requests a second; none if it names no limit any more.
+    /// Requests per second; absent if the target no longer has a limit.
     #[prost(double, optional, tag = "3")]
     pub rate: ::core::option::Option<f64>,
 }
-/// Asks an entry that holds a target's limit when one more request may be sent there.
+/// Asks an entry that has a share of a target's limit for permission to send one more request.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct TurnAsk {
     #[prost(string, tag = "1")]
     pub target: ::prost::alloc::string::String,
-    /// When that life of the target began; 0 if it does not say.
+    /// Start time of the target's incarnation; 0 if unknown.
     #[prost(fixed64, tag = "2")]
     pub born: u64,
-    /// Chosen by whoever asks; comes back with the answer.
+    /// Id that the sender chose; the answer repeats it.
     #[prost(bytes = "bytes", tag = "3")]
     pub request: ::prost::bytes::Bytes,
-    /// The longest wait of any use, in milliseconds.
+    /// Longest useful wait, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub most: u32,
 }
-/// Answers it.
+/// Answer to TurnAsk.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct TurnAnswer {
     #[prost(bytes = "bytes", tag = "1")]
     pub request: ::prost::bytes::Bytes,
-    /// The request may be sent; nobody else is sent then.
+    /// The request may be sent; the permission is not given to any other request.
     #[prost(bool, tag = "2")]
     pub granted: bool,
-    /// In how many milliseconds it may be, or the next one could be. The greatest number
-    /// if whoever was asked holds no limit of that target.
+    /// Milliseconds until this request may be sent or, if not granted, until the next one could be.
+    /// The maximum if the answering entry has no share of the target's limit.
     #[prost(uint32, tag = "3")]
     pub wait: u32,
 }
-/// A target wants no more requests, for this life.
+/// An incarnation of a target is leaving and takes no more requests.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Notice {
     #[prost(string, tag = "1")]
     pub target: ::prost::alloc::string::String,
-    /// When that life of the target began; 0 if it does not say.
+    /// Start time of the target's incarnation; 0 if unknown.
     #[prost(fixed64, tag = "2")]
     pub born: u64,
 }
-/// What configuration a process holds.
+/// Revisions and hashes of the configuration and the instance list that a process has stored.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Digest {
     #[prost(fixed64, tag = "1")]
     pub revision: u64,
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
-    /// Milliseconds since the platform's service last answered any process that this one heard of.
+    /// Milliseconds since the platform's store last answered a process, as far as the sender knows.
     #[prost(uint32, tag = "3")]
     pub age: u32,
-    /// The same two of the instance list.
+    /// Revision and hash of the instance list.
     #[prost(fixed64, tag = "4")]
     pub list_revision: u64,
     #[prost(fixed64, tag = "5")]
     pub list_hash: u64,
-    /// Whoever holds less of the instance list than this revision has to compare.
+    /// A process whose instance list is older than this revision must compare the lists, because the
+    /// sender does not have every earlier removal.
     #[prost(fixed64, tag = "6")]
     pub list_since: u64,
     /// Eras of the three revisions.
@@ -379,50 +392,53 @@
     pub list_era: u64,
     #[prost(uint64, tag = "9")]
     pub list_since_era: u64,
-    /// The earliest revision of the latest era at which anybody is known to have read the list.
+    /// Earliest known revision of the latest era at which any process read the instance list.
     #[prost(fixed64, tag = "10")]
     pub list_began: u64,
     #[prost(uint64, tag = "11")]
     pub list_began_era: u64,
 }
+/// Requests the documents that changed after a revision.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Pull {
     #[prost(fixed64, tag = "1")]
     pub after: u64,
-    /// 0 declarations, 1 instance list.
+    /// Kind of store: 0 declarations, 1 instance list.
     #[prost(uint32, tag = "2")]
     pub what: u32,
-    /// A hash for each of the 128 parts of the list that the sender holds, where it asks for
-    /// those that differ.
+    /// If not empty: hashes of the 128 parts of the sender's instance list. The receiver answers with
+    /// the parts that differ.
     #[prost(fixed64, repeated, tag = "3")]
     pub parts: ::prost::alloc::vec::Vec<u64>,
     /// Era of `after`.
     #[prost(uint64, tag = "4")]
     pub era: u64,
 }
+/// Answer to a pull.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Delta {
-    /// Revision the answer starts from; the receiver must hold at least this.
+    /// Revision at which the delta starts; the receiver's store must be at this revision or later.
     #[prost(fixed64, tag = "1")]
     pub after: u64,
+    /// Revision of the receiver's store afterwards.
     #[prost(fixed64, tag = "2")]
     pub revision: u64,
     #[prost(message, repeated, tag = "3")]
     pub documents: ::prost::alloc::vec::Vec<Document>,
-    /// 0 declarations, 1 instance list.
+    /// Kind of store: 0 declarations, 1 instance list.
     #[prost(uint32, tag = "4")]
     pub what: u32,
-    /// The documents are all that the sender holds: what it does not name is gone.
+    /// The documents are the complete store: a document that is not included does not exist.
     #[prost(bool, tag = "5")]
     pub whole: bool,
-    /// With `whole`: the sender knows of each removal after this revision.
+    /// With `whole`: the sender has every removal after this revision.
     #[prost(fixed64, tag = "6")]
     pub since: u64,
-    /// The documents are all that the sender holds of these parts of the list: a bit for each
-    /// of the 128, the lowest first, in 16 bytes. Empty otherwise.
+    /// If not empty: the documents are the complete content of these parts of the instance list. 16
+    /// bytes with a bit for each of the 128 parts, the lowest first.
     #[prost(bytes = "bytes", tag = "7")]
     pub parts: ::prost::bytes::Bytes,
-    /// With `parts`: hash of what the receiver held when it asked.
+    /// With `parts`: hash of the receiver's list that the sender compared with its own.
     #[prost(fixed64, tag = "8")]
     pub asked: u64,
     /// Eras of `after`, `revision` and `since`.
@@ -433,6 +449,7 @@
     #[prost(uint64, tag = "11")]
     pub since_era: u64,
 }
+/// Newest version of a document.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Document {
     #[prost(string, tag = "1")]
@@ -443,7 +460,7 @@
     pub removed: bool,
     #[prost(string, tag = "4")]
     pub body: ::prost::alloc::string::String,
-    /// Last accepted version, when the newest is refused.
+    /// Last accepted version, if the newest version was refused.
     #[prost(fixed64, tag = "5")]
     pub accepted_revision: u64,
     #[prost(string, tag = "6")]
@@ -454,7 +471,7 @@
     #[prost(uint64, tag = "8")]
     pub accepted_era: u64,
 }
-/// One message of the expert-map switch between the agents of a group.
+/// Message of the switch of expert maps between the agents of a group.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Ballot {
     #[prost(string, tag = "1")]
@@ -472,12 +489,12 @@
     pub member: ::prost::alloc::string::String,
     #[prost(bytes = "bytes", tag = "7")]
     pub map: ::prost::bytes::Bytes,
-    /// Of a vote: the voter refuses every version up to this.
+    /// In a vote: the voter refuses all versions up to and including this one.
     #[prost(fixed64, tag = "8")]
     pub floor: u64,
 }
-/// What the agent of a rank tells the agents of its group: who it is, what its
-/// rank holds, and which experts its requests chose.
+/// State of a rank and counts of the experts that its requests chose. Sent by the rank's agent to
+/// the agents of its group.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Tally {
     #[prost(string, tag = "1")]
@@ -486,82 +503,87 @@
     pub epoch: u64,
     #[prost(uint32, tag = "3")]
     pub rank: u32,
-    /// The last step begun.
+    /// Last step that was started.
     #[prost(uint64, tag = "4")]
     pub step: u64,
     /// Version of the map in force.
     #[prost(uint64, tag = "5")]
     pub version: u64,
-    /// Version that is prepared; 0 for none.
+    /// Version of the prepared map; 0 if there is none.
     #[prost(uint64, tag = "6")]
     pub prepared: u64,
-    /// Highest version that this agent knows to be used up.
+    /// Highest version that is in use or was used, as far as the sender knows.
     #[prost(uint64, tag = "7")]
     pub highest: u64,
-    /// Choices since this agent last told the receiver, layer by layer; empty
-    /// when not told.
+    /// Number of times that each expert was chosen since the previous counts sent to the receiver, by
+    /// layer; empty if not sent.
     #[prost(uint64, repeated, tag = "8")]
     pub chosen: ::prost::alloc::vec::Vec<u64>,
-    /// Experts of this rank, layer by layer; layers are separated by 65535.
-    /// Empty when as told before for this version.
+    /// Experts of this rank, by layer; layers are separated by 65535. Empty if unchanged since sent
+    /// for this version.
     #[prost(uint32, repeated, tag = "9")]
     pub experts: ::prost::alloc::vec::Vec<u32>,
-    /// How long the rank takes for the same work, in thousandths of a healthy
-    /// one's time; 0 when not told.
+    /// Time that the rank takes for the same work, in thousandths of a healthy rank's time; 0 if not
+    /// sent.
     #[prost(uint32, tag = "10")]
     pub pace: u32,
-    /// The receiver is to tell the sender its choices.
+    /// The receiver should send its choices to the sender.
     #[prost(bool, tag = "11")]
     pub samples: bool,
-    /// An order to the rank went unanswered lately.
+    /// A recent order to the rank was not answered.
     #[prost(bool, tag = "12")]
     pub unanswered: bool,
-    /// With `samples`: how many choices of a layer the receiver is to tell the
-    /// sender; 0 for the counts as they are.
+    /// With `samples`: number of choices per layer that the receiver should sample and send; 0 for
+    /// the complete counts.
     #[prost(uint32, tag = "13")]
     pub draws: u32,
-    /// Choices of each layer since this agent last told the receiver, where only
-    /// some of them are told in `drawn`.
+    /// Number of choices per layer since the previous counts sent to the receiver, if `drawn` has only
+    /// a sample of them.
     #[prost(uint64, repeated, tag = "14")]
     pub totals: ::prost::alloc::vec::Vec<u64>,
-    /// Layer by layer: how many were drawn, and each one's expert as the distance
-    /// from the one before.
+    /// By layer: number of sampled choices, then the expert of each one as the difference from the
+    /// one before.
     #[prost(uint32, repeated, tag = "15")]
     pub drawn: ::prost::alloc::vec::Vec<u32>,
 }
-/// What an entry tells the agent beside a listed target of a service whose
-/// targets are ranks of a group.
+/// Bounds for the expert maps of a service whose targets are ranks of groups. Sent by an entry to
+/// the agents of its listed targets.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Bounds {
     #[prost(string, tag = "1")]
     pub service: ::prost::alloc::string::String,
-    /// Revision of the configuration that says so.
+    /// Revision of the configuration that declares the bounds.
     #[prost(fixed64, tag = "2")]
     pub revision: u64,
+    /// Number of layers.
     #[prost(uint32, tag = "3")]
     pub layers: u32,
+    /// Experts per layer.
     #[prost(uint32, tag = "4")]
     pub experts: u32,
+    /// Slots per rank and layer.
     #[prost(uint32, tag = "5")]
     pub slots: u32,
+    /// New experts that a rank may load per layer while it prepares a map.
     #[prost(uint32, tag = "6")]
     pub spare: u32,
     /// Microseconds that a rank takes to copy one expert.
     #[prost(uint32, tag = "7")]
     pub copy: u32,
-    /// Thousandths of the work for a token that experts do.
+    /// Share of the work for a token that is done by experts, in thousandths.
     #[prost(uint32, tag = "8")]
     pub part: u32,
-    /// Microseconds of a step without any sequence, and for each sequence.
+    /// Microseconds of a step without sequences.
     #[prost(uint32, tag = "9")]
     pub step: u32,
+    /// Additional microseconds of a step for each sequence.
     #[prost(uint32, tag = "10")]
     pub sequence: u32,
     /// Era of `revision`.
     #[prost(uint64, tag = "11")]
     pub era: u64,
 }
-/// A map that the ranks of a group are to prepare.
+/// A map that the ranks of a group should prepare.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Proposal {
     #[prost(string, tag = "1")]
@@ -570,22 +592,22 @@
     pub epoch: u64,
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The whole map; empty where it is told by what differs from another one.
+    /// The complete map; empty if the map is sent as the difference from another one.
     #[prost(bytes = "bytes", tag = "4")]
     pub map: ::prost::bytes::Bytes,
-    /// The version that it differs from.
+    /// Version of the map that the difference starts from.
     #[prost(uint64, tag = "5")]
     pub base: u64,
-    /// For each slot with another expert its distance from the one before, and the
-    /// expert plus 1, or 0 for none.
+    /// For each changed slot: its distance from the previous changed slot, then its expert plus 1, or
+    /// 0 if the slot is empty.
     #[prost(uint32, repeated, tag = "6")]
     pub changes: ::prost::alloc::vec::Vec<u32>,
-    /// Digest of the whole map that this leads to.
+    /// Digest of the complete map that results.
     #[prost(fixed64, tag = "7")]
     pub digest: u64,
 }
-/// Asks for a proposed map as a whole, where the receiver of the difference does
-/// not have the map that it starts from.
+/// Asks for the complete map of a proposal, if the receiver of a difference does not have the map
+/// that it starts from.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct MapPull {
     #[prost(string, tag = "1")]
@@ -595,7 +617,7 @@
     #[prost(uint64, tag = "3")]
     pub version: u64,
 }
-/// One message of the switch of a group whose engines keep no vote.
+/// Message of the switch of expert maps in a group whose engines do not store votes.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Barrier {
     #[prost(string, tag = "1")]
@@ -612,10 +634,11 @@
     pub version: u64,
     #[prost(uint64, tag = "6")]
     pub step: u64,
-    /// Of votes: ranks known to be armed, a bit a rank, the lowest in the lowest bit of the first byte; none after the last that is not 0.
+    /// In votes: ranks that are known to be armed, with a bit for each rank, the lowest rank in the
+    /// lowest bit of the first byte. Trailing zero bytes are omitted.
     #[prost(bytes = "bytes", tag = "7")]
     pub yes: ::prost::bytes::Bytes,
-    /// Of votes: a rank refused.
+    /// In votes: a rank refused.
     #[prost(bool, tag = "8")]
     pub no: bool,
 }
