--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -182,7 +182,7 @@
         refuses: message.refuses,
         rest: message.rest,
         limit: notices::rate("report", message.limit)?,
-        // An agent that has no load reading of the engine sends the maximum age.
+        // The agent of a plain service has no load reading of an engine and sends the maximum age.
         engine_age: (message.load_age != u32::MAX).then_some(message.load_age.into()),
     })
 }
