--- a/crates/sablepass-agent/src/engine.rs
+++ b/crates/sablepass-agent/src/engine.rs
@@ -45,8 +45,8 @@
     fn call(&self) -> HttpCall {
         match self {
             Self::Report => HttpCall::get(engine::REPORT_PATH, READ_TIMEOUT),
-            Self::Counts => HttpCall::get(engine::PICKED_PATH, READ_TIMEOUT),
-            Self::Lists => HttpCall::get(engine::LISTS_PATH, READ_TIMEOUT),
+            Self::Counts => HttpCall::get(engine::EXPERT_COUNTS_PATH, READ_TIMEOUT),
+            Self::Lists => HttpCall::get(engine::EXPERT_LISTS_PATH, READ_TIMEOUT),
             Self::Order(body) | Self::Prepare(body) => {
                 HttpCall::post(engine::ORDER_PATH, body.clone(), ORDER_TIMEOUT)
             }
--- a/crates/sablepass-agent/src/memory.rs
+++ b/crates/sablepass-agent/src/memory.rs
@@ -9,7 +9,7 @@
 use sablepass_wire::convert::Error;
 use sablepass_wire::generated as wire;
 use sablepass_wire::generated::frame::Body;
-use sablepass_wire::suspects::Told;
+use sablepass_wire::suspects::Evidence;
 
 /// The deaths reported by entries.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
 impl SuspectCache {
     /// Applies the deaths and cleared requests that an entry reported.
     pub fn update(&mut self, now: Millis, message: wire::Suspects) -> Result<(), Error> {
-        let report = Told::parse(message)?;
+        let report = Evidence::parse(message)?;
         for (request, death) in report.deaths {
             self.suspects.record(now, request, death);
         }
@@ -34,7 +34,7 @@
     /// blocked.
     pub fn message(&self, now: Millis) -> Option<Body> {
         let blocked = self.suspects.blocked(now).map(|(it, death)| (it, death.clone()));
-        let report = Told { deaths: blocked.collect(), sound: Vec::new() };
+        let report = Evidence { deaths: blocked.collect(), sound: Vec::new() };
         (!report.is_empty()).then(|| report.body())
     }
 }
--- a/crates/sablepass-agent/src/observer.rs
+++ b/crates/sablepass-agent/src/observer.rs
@@ -310,11 +310,11 @@
             self.answering = true;
             slog::info!(self.log, "target's report is available"; "target" => %self.target);
         }
-        let before = self.reading.as_ref().map(|it| it.report.born);
-        if before.is_some_and(|it| it != report.born) {
+        let before = self.reading.as_ref().map(|it| it.report.started_at);
+        if before.is_some_and(|it| it != report.started_at) {
             // Orders and votes need no reset: they belong to an epoch of the group, which ends
             // when a rank ends.
-            slog::info!(self.log, "target restarted"; "born" => report.born);
+            slog::info!(self.log, "target restarted"; "born" => report.started_at);
             self.steps = Steps::default();
         }
         let busy = report.running + report.waiting > 0;
--- a/crates/sablepass-agent/src/ranks.rs
+++ b/crates/sablepass-agent/src/ranks.rs
@@ -24,7 +24,7 @@
 use sablepass_edge::caller::Answer;
 use sablepass_edge::mesh::PeerKey;
 use sablepass_edge::telemetry::Metrics;
-use sablepass_platform::engine::{self, Group, Lists, Picked};
+use sablepass_platform::engine::{self, ExpertCounts, Group, Lists};
 use sablepass_wire::generated::frame::Body;
 use slog::Logger;
 
@@ -359,10 +359,12 @@
                 list.push(Action::Call(Call::Report));
                 list
             }
-            (Call::Counts, Ok(Answer { status: 200, body, .. })) => match engine::picked(body) {
-                Ok(it) => self.on_counts(now, it),
-                Err(e) => self.log_decode_error(&e),
-            },
+            (Call::Counts, Ok(Answer { status: 200, body, .. })) => {
+                match engine::expert_counts(body) {
+                    Ok(it) => self.on_counts(now, it),
+                    Err(e) => self.log_decode_error(&e),
+                }
+            }
             (Call::Lists, Ok(Answer { status: 200, body, .. })) => match engine::lists(body) {
                 Ok(it) => {
                     self.lists = Some(it);
@@ -382,7 +384,7 @@
     }
 
     /// Records the own rank's counts on rank 0; other ranks send them to the planner.
-    fn on_counts(&mut self, now: Millis, picked: Picked) -> Vec<Action> {
+    fn on_counts(&mut self, now: Millis, picked: ExpertCounts) -> Vec<Action> {
         let Some(group) = &self.group else { return Vec::new() };
         if picked.epoch != group.reading.epoch {
             return Vec::new();
--- a/crates/sablepass-agent/src/run.rs
+++ b/crates/sablepass-agent/src/run.rs
@@ -13,7 +13,7 @@
 use sablepass_core::outcome::{Failure, Ran};
 use sablepass_core::reason::Refusal;
 use sablepass_edge::clock;
-use sablepass_platform::answer::{self, Limit, Rest};
+use sablepass_platform::answer::{self, Limit, Pause};
 use stakker::sync::Channel;
 
 /// Size of the buffer for the answer's body; the maximum size of a part.
@@ -154,9 +154,9 @@
 /// Decodes the announcement in an answer's headers. An unreadable pause is ignored.
 fn decode_notice(job: &Job, head: ureq::http::response::Parts) -> TargetNotice {
     let meta = answer::decode(clock::now(), &ureq::http::Response::from_parts(head, ()));
-    let pause = match meta.rest {
-        Rest::For(it) => Some(it),
-        Rest::None | Rest::Unread => None,
+    let pause = match meta.pause {
+        Pause::For(it) => Some(it),
+        Pause::None | Pause::Unread => None,
     };
     TargetNotice { sent: job.sent, pause, limit: meta.limit }
 }
--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -372,7 +372,7 @@
         leaving: replica.leaving,
         serves: replica.service,
         capacity: replica.slots,
-        born: replica.born,
+        born: replica.started_at,
         revision: Revision::default(),
     }
 }
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -10,9 +10,9 @@
 use sablepass_core::reason::Ignored;
 use sablepass_edge::clock;
 use sablepass_edge::mesh::PeerKey;
-use sablepass_platform::answer::{Limit, Meta, Proof, Rest};
+use sablepass_platform::answer::{Limit, Meta, Pause, Proof};
 use sablepass_wire::generated as wire;
-use sablepass_wire::notices::{self, Told};
+use sablepass_wire::notices::{self, Announcements};
 use stakker::call;
 
 use crate::pool::InFlightAttempt;
@@ -47,10 +47,10 @@
         status: u16,
         meta: &Meta,
     ) {
-        let (asked, rest) = match meta.rest {
-            Rest::None => ("nothing", None),
-            Rest::For(duration) => ("rest", Some(duration)),
-            Rest::Unread => ("unread", None),
+        let (asked, rest) = match meta.pause {
+            Pause::None => ("nothing", None),
+            Pause::For(duration) => ("rest", Some(duration)),
+            Pause::Unread => ("unread", None),
         };
         self.metrics.turned_away.with_label_values(&[asked]).inc();
         let begins =
@@ -126,7 +126,7 @@
             Change::Set(rate) => Some(rate),
             Change::Ended => None,
         };
-        self.broadcast(&Told { limits: vec![(incarnation, rate)], ..Told::default() });
+        self.broadcast(&Announcements { limits: vec![(incarnation, rate)], ..Announcements::default() });
     }
 
     /// Processes the report of a target's limit by its agent.
@@ -200,11 +200,11 @@
 
     /// Sends the notice that a target leaves to the other entries.
     pub(crate) fn send_leaving(&self, incarnation: TargetIncarnation<'_>) {
-        self.broadcast(&Told { leaving: vec![incarnation], ..Told::default() });
+        self.broadcast(&Announcements { leaving: vec![incarnation], ..Announcements::default() });
     }
 
     /// Sends notices to all connected entries.
-    fn broadcast(&self, notices: &Told<'_>) {
+    fn broadcast(&self, notices: &Announcements<'_>) {
         let body = notices.body();
         for peer in self.watch.entries() {
             call!([self.mesh], send(peer, body.clone()));
@@ -220,7 +220,8 @@
     /// Sends all notices, the leaving targets and the limits, to one entry.
     pub(crate) fn send_all_notices(&self, peer: PeerKey) {
         let limits = self.targets.limits().map(|(it, limit)| (it, Some(limit.rate())));
-        let notices = Told {
+        let notices =
+            Announcements {
             leaving: self.targets.leaving_incarnations().collect(),
             limits: limits.collect(),
         };
@@ -246,7 +247,7 @@
         if !new.is_empty() {
             // Forwarded, since entries that know each other from configured seeds are connected to
             // those seeds only.
-            self.broadcast(&Told { leaving: new, ..Told::default() });
+            self.broadcast(&Announcements { leaving: new, ..Announcements::default() });
         }
         for (incarnation, rate) in received.limits {
             if !self.keeps_notice(incarnation) {
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -16,7 +16,7 @@
 use sablepass_edge::clock;
 use sablepass_edge::mesh::PeerKey;
 use sablepass_wire::generated as wire;
-use sablepass_wire::suspects::Told;
+use sablepass_wire::suspects::Evidence;
 use stakker::{CX, after, call};
 
 use crate::open::OpenRequest;
@@ -73,7 +73,7 @@
     /// Names of the other entries, by connection.
     peers: BTreeMap<PeerKey, String>,
     /// Records that have not been sent to the other entries yet.
-    unsent: Told,
+    unsent: Evidence,
     probes: ProbeLimiter,
 }
 
@@ -90,7 +90,7 @@
 
     /// Records a connection to another entry. Returns the message with all known deaths for that
     /// entry, if there are any.
-    pub(crate) fn peer_connected(&mut self, peer: PeerKey, name: &str) -> Option<Told> {
+    pub(crate) fn peer_connected(&mut self, peer: PeerKey, name: &str) -> Option<Evidence> {
         self.peers.insert(peer, name.to_owned());
         Some(deaths_message(self.suspects.deaths())).filter(|it| !it.is_empty())
     }
@@ -102,15 +102,15 @@
 
     /// The message with the deaths under all blocked requests, which agents store; none if no
     /// request is blocked.
-    pub(crate) fn blocked_message(&self, now: Millis) -> Option<Told> {
+    pub(crate) fn blocked_message(&self, now: Millis) -> Option<Evidence> {
         Some(deaths_message(self.suspects.blocked(now))).filter(|it| !it.is_empty())
     }
 
     /// Removes the next message to the other entries from the records that wait to be sent.
-    fn next_message(&mut self) -> Option<Told> {
+    fn next_message(&mut self) -> Option<Evidence> {
         let deaths = self.unsent.deaths.len().min(MAX_BATCH);
         let sound = self.unsent.sound.len().min(MAX_BATCH);
-        let message = Told {
+        let message = Evidence {
             deaths: self.unsent.deaths.drain(..deaths).collect(),
             sound: self.unsent.sound.drain(..sound).collect(),
         };
@@ -142,9 +142,9 @@
     }
 }
 
-fn deaths_message<'a>(deaths: impl Iterator<Item = (Fingerprint, &'a Death)>) -> Told {
+fn deaths_message<'a>(deaths: impl Iterator<Item = (Fingerprint, &'a Death)>) -> Evidence {
     let deaths = deaths.map(|(it, death)| (it, death.clone()));
-    Told { deaths: deaths.collect(), sound: Vec::new() }
+    Evidence { deaths: deaths.collect(), sound: Vec::new() }
 }
 
 impl Router {
@@ -216,7 +216,7 @@
 
     /// Processes the records of suspected requests that a peer or agent sent.
     pub(crate) fn receive_suspects(&mut self, cx: CX![], peer: PeerKey, message: wire::Suspects) {
-        let Ok(records) = Told::parse(message) else {
+        let Ok(records) = Evidence::parse(message) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -192,7 +192,7 @@
             TargetIncarnation { name: target, started_at: self.targets.started_at(target) };
         call!(
             [self.mesh],
-            send(peer, turns::ask(Ask { target: incarnation, request: id, most: max_wait }))
+            send(peer, turns::ask(Ask { target: incarnation, request: id, max_wait: most: max_wait }))
         );
         if let Some(open) = self.requests.get_mut(&id) {
             open.turn_requested = true;
@@ -255,7 +255,7 @@
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
-        let turn = self.targets.reserve(clock::now(), ask.target, ask.most);
+        let turn = self.targets.reserve(clock::now(), ask.target, ask.max_wait);
         let outcome = if matches!(turn, Turn::In(_)) { "granted" } else { "denied" };
         self.metrics.turns.with_label_values(&[outcome]).inc();
         call!([self.mesh], send(peer, turns::answer(Answer { request: ask.request, turn })));
