--- a/crates/sablepass-entry/src/direct.rs
+++ b/crates/sablepass-entry/src/direct.rs
@@ -115,7 +115,8 @@
             self.send_leaving(TargetIncarnation { name: &target, started_at });
         }
         self.check_notices_respected(
-            now, in_flight,
+            now,
+            in_flight,
             TargetIncarnation { name: &target, started_at },
         );
         if let Some(load) = meta.load {
@@ -232,7 +233,7 @@
                 "attempt" => in_flight.attempt, "sent" => sent, "bytes" => in_flight.offset,
                 "fingerprint" => %open.fingerprint(), "cause" => %cause);
         }
-        if sent && cause.is_end() {
+        if sent && cause.is_disconnect() {
             self.attempt_interrupted(cx, in_flight.request, &target);
         }
         let event = if sent {
--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -126,7 +126,10 @@
             Change::Set(rate) => Some(rate),
             Change::Ended => None,
         };
-        self.broadcast(&Announcements { limits: vec![(incarnation, rate)], ..Announcements::default() });
+        self.broadcast(&Announcements {
+            limits: vec![(incarnation, rate)],
+            ..Announcements::default()
+        });
     }
 
     /// Processes the report of a target's limit by its agent.
@@ -220,8 +223,7 @@
     /// Sends all notices, the leaving targets and the limits, to one entry.
     pub(crate) fn send_all_notices(&self, peer: PeerKey) {
         let limits = self.targets.limits().map(|(it, limit)| (it, Some(limit.rate())));
-        let notices =
-            Announcements {
+        let notices = Announcements {
             leaving: self.targets.leaving_incarnations().collect(),
             limits: limits.collect(),
         };
--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -230,7 +230,8 @@
     /// over: while they run there, all ranks of the group are as slow as this one.
     fn move_requests(&mut self, cx: CX![], target: &str) {
         let is_assigned = |it: &&OpenRequest| it.flight.target() == Some(target);
-        let Some(served) = self.requests.values().find(is_assigned).map(|it| it.served.clone()) else {
+        let Some(served) = self.requests.values().find(is_assigned).map(|it| it.served.clone())
+        else {
             return;
         };
         let ids = self.requests_at(target);
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -303,7 +303,9 @@
         let fingerprint = open.fingerprint();
         let several = self.watch.suspects.deaths_of(fingerprint).len() >= 2;
         let is_duplicate = |(other, duplicate): (&RequestId, &OpenRequest)| {
-            *other != id && duplicate.counted_target.is_some() && duplicate.fingerprint() == fingerprint
+            *other != id
+                && duplicate.counted_target.is_some()
+                && duplicate.fingerprint() == fingerprint
         };
         Trial {
             expensive: self.targets.is_single_group(&open.served),
@@ -339,7 +341,8 @@
 
     /// Records that a target completed a request, which clears the request if it was suspected.
     pub(crate) fn request_completed(&mut self, id: RequestId) {
-        let Some(fingerprint) = self.requests.get(&id).map(crate::open::OpenRequest::fingerprint) else {
+        let Some(fingerprint) = self.requests.get(&id).map(crate::open::OpenRequest::fingerprint)
+        else {
             return;
         };
         if self.watch.suspects.record_completed(clock::now(), fingerprint) {
--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -124,7 +124,8 @@
         if open.head_sent {
             return deadline.min(open.delivered_at + RESUME_WAIT).saturating_sub(now);
         }
-        let first_event = self.start_queues.get(&open.served).map_or(0, |it| it.time_to_first_event());
+        let first_event =
+            self.start_queues.get(&open.served).map_or(0, |it| it.time_to_first_event());
         let objective = open.route.as_ref().map_or(0, |it| it.objective);
         deadline.min(open.run.arrived + objective).saturating_sub(now + first_event)
     }
@@ -192,7 +193,7 @@
             TargetIncarnation { name: target, started_at: self.targets.started_at(target) };
         call!(
             [self.mesh],
-            send(peer, turns::ask(Ask { target: incarnation, request: id, max_wait: most: max_wait }))
+            send(peer, turns::ask(Ask { target: incarnation, request: id, max_wait }))
         );
         if let Some(open) = self.requests.get_mut(&id) {
             open.turn_requested = true;
