--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -105,7 +105,7 @@
 
     fn up(&mut self, cx: CX![], peer: PeerKey, it: &Introduction) {
         if it.role == Role::Entry.name() {
-            let told = self.watch.entry_up(peer, &it.name);
+            let told = self.watch.peer_connected(peer, &it.name);
             told.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
             self.send_all_notices(peer);
             return;
@@ -113,7 +113,7 @@
         let Some(endpoint) = it.dialled.as_ref() else {
             return;
         };
-        let held = self.watch.held(clock::now());
+        let held = self.watch.blocked_message(clock::now());
         held.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
         if self.targets.listed_agent_connected(peer, endpoint) {
             self.bounds().into_iter().for_each(|it| call!([self.mesh], send(peer, it)));
@@ -147,7 +147,7 @@
     }
 
     fn down(&mut self, cx: CX![], peer: PeerKey) {
-        self.watch.down(peer);
+        self.watch.peer_disconnected(peer);
         let Some(name) = self.targets.agent_disconnected(peer) else {
             return;
         };
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router towards requests that end their targets: what it saw and was told
-//! of them, what it tells others, and what it holds back.
+//! Detection of requests that end their targets, as part of the router: records the ends of targets
+//! under requests, exchanges these records with peers, and blocks the requests that are the cause.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,96 +23,101 @@
 use crate::router::Router;
 use crate::trace::Step;
 
-/// Deaths and answers told in one message, at most one in [`crate::ticks::TICK_INTERVAL`]:
-/// 64 of some 80 bytes are 5 KB, or 200 KB/s while hundreds of targets end.
-const BATCH: usize = 64;
-/// What waits to be told. More is dropped: it is heard of from the others that saw it.
-const BACKLOG: usize = 4_096;
-
-/// Time after which a target without an agent is looked at once more. Ten times what
-/// the kernel, or a proxy in between, took to refuse connections after it had closed
-/// those that stood; a caller that repeats a request at once comes later.
-const LOOK_AGAIN: Duration = Duration::from_millis(30);
-/// Looks at targets with agents that may be made at once. Agents see their
-/// target's end within a heartbeat, and all ranks of a group break off what they
-/// run when one of them has ended: some looks are enough, not one a rank.
-const PROBES: u32 = 4;
-/// Time after which one more may be made: an agent's heartbeat.
-const PROBE_PAUSE: Millis = 200;
-
-/// How many looks are left.
+/// Maximum number of deaths, and of cleared requests, in one message. At most one message is sent
+/// per [`crate::ticks::TICK_INTERVAL`]: 64 records of about 80 bytes are 5 KB, or 200 KB/s while
+/// hundreds of targets end.
+const MAX_BATCH: usize = 64;
+/// Maximum number of records of each kind that wait to be sent. Further ones are dropped: other
+/// entries that observed the same deaths send them.
+const MAX_BACKLOG: usize = 4_096;
+
+/// Delay of the second probe of a target without an agent. The kernel, or a proxy in between,
+/// refuses new connections within a tenth of this time after it has closed the established ones; a
+/// caller that repeats a request at once needs longer than this.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
+/// Maximum number of probes at once of targets with agents. An agent detects the end of its target
+/// within a heartbeat interval, and all ranks of a group interrupt their requests when one of them
+/// has ended, so that a few probes are enough and one per rank is not needed.
+const PROBE_BURST: u32 = 4;
+/// Time after which one more probe is allowed: the heartbeat interval of an agent.
+const PROBE_INTERVAL: Millis = 200;
+
+/// Rate limiter of probes.
 #[derive(Debug, Default)]
-struct Probes {
-    /// Those made since the count was last at 0.
-    made: u32,
-    /// When the count was last lowered.
-    since: Millis,
+struct ProbeLimiter {
+    /// Number of probes of the burst that are used up.
+    used: u32,
+    /// When `used` was last lowered.
+    lowered_at: Millis,
 }
 
-impl Probes {
+impl ProbeLimiter {
+    /// Returns whether a probe is allowed now, and counts it if so.
     fn take(&mut self, now: Millis) -> bool {
-        let regained = now.saturating_sub(self.since) / PROBE_PAUSE;
+        let regained = now.saturating_sub(self.lowered_at) / PROBE_INTERVAL;
         if regained > 0 {
-            self.made = self.made.saturating_sub(u32::try_from(regained).unwrap_or(u32::MAX));
-            self.since = now;
+            self.used = self.used.saturating_sub(u32::try_from(regained).unwrap_or(u32::MAX));
+            self.lowered_at = now;
         }
-        let left = self.made < PROBES;
-        self.made += u32::from(left);
-        left
+        let allowed = self.used < PROBE_BURST;
+        self.used += u32::from(allowed);
+        allowed
     }
 }
 
-/// What this entry knows of requests that end their targets.
+/// Records of suspected requests, and the peers with which they are exchanged.
 #[derive(Default)]
 pub struct SuspectTracker {
     pub(crate) suspects: Suspects,
     deaths: Deaths,
-    /// Connections to other entries, with their names.
-    entries: BTreeMap<PeerKey, String>,
-    /// What the other entries have not been told yet.
-    untold: Told,
-    probes: Probes,
+    /// Names of the other entries, by connection.
+    peers: BTreeMap<PeerKey, String>,
+    /// Records that have not been sent to the other entries yet.
+    unsent: Told,
+    probes: ProbeLimiter,
 }
 
 impl SuspectTracker {
     /// Connections to other entries.
     pub(crate) fn entries(&self) -> impl Iterator<Item = PeerKey> {
-        self.entries.keys().copied()
+        self.peers.keys().copied()
     }
 
-    /// The connection to an entry.
+    /// The connection to the entry with this name.
     pub(crate) fn entry(&self, name: &str) -> Option<PeerKey> {
-        self.entries.iter().find(|it| it.1 == name).map(|it| *it.0)
+        self.peers.iter().find(|it| it.1 == name).map(|it| *it.0)
     }
 
-    /// Records a connection to another entry, which is told all that is known.
-    pub(crate) fn entry_up(&mut self, peer: PeerKey, name: &str) -> Option<Told> {
-        self.entries.insert(peer, name.to_owned());
-        Some(told(self.suspects.deaths())).filter(|it| !it.is_empty())
+    /// Records a connection to another entry. Returns the message with all known deaths for that
+    /// entry, if there are any.
+    pub(crate) fn peer_connected(&mut self, peer: PeerKey, name: &str) -> Option<Told> {
+        self.peers.insert(peer, name.to_owned());
+        Some(deaths_message(self.suspects.deaths())).filter(|it| !it.is_empty())
     }
 
     /// Records the end of a connection.
-    pub(crate) fn down(&mut self, peer: PeerKey) {
-        self.entries.remove(&peer);
+    pub(crate) fn peer_disconnected(&mut self, peer: PeerKey) {
+        self.peers.remove(&peer);
     }
 
-    /// What a process beside a target is to remember.
-    pub(crate) fn held(&self, now: Millis) -> Option<Told> {
-        Some(told(self.suspects.blocked(now))).filter(|it| !it.is_empty())
+    /// The message with the deaths under all blocked requests, which agents store; none if no
+    /// request is blocked.
+    pub(crate) fn blocked_message(&self, now: Millis) -> Option<Told> {
+        Some(deaths_message(self.suspects.blocked(now))).filter(|it| !it.is_empty())
     }
 
-    /// The next message to the other entries.
-    fn next_told(&mut self) -> Option<Told> {
-        let deaths = self.untold.deaths.len().min(BATCH);
-        let sound = self.untold.sound.len().min(BATCH);
-        let told = Told {
-            deaths: self.untold.deaths.drain(..deaths).collect(),
-            sound: self.untold.sound.drain(..sound).collect(),
+    /// Removes the next message to the other entries from the records that wait to be sent.
+    fn next_message(&mut self) -> Option<Told> {
+        let deaths = self.unsent.deaths.len().min(MAX_BATCH);
+        let sound = self.unsent.sound.len().min(MAX_BATCH);
+        let message = Told {
+            deaths: self.unsent.deaths.drain(..deaths).collect(),
+            sound: self.unsent.sound.drain(..sound).collect(),
         };
-        Some(told).filter(|it| !it.is_empty())
+        Some(message).filter(|it| !it.is_empty())
     }
 
-    /// What is known, for operators.
+    /// Suspected requests as JSON, for operators.
     pub(crate) fn status(&self, now: Millis) -> serde_json::Value {
         let mut requests: BTreeMap<Fingerprint, Vec<&Death>> = BTreeMap::new();
         for (it, death) in self.suspects.deaths() {
@@ -137,18 +142,18 @@
     }
 }
 
-fn told<'a>(deaths: impl Iterator<Item = (Fingerprint, &'a Death)>) -> Told {
+fn deaths_message<'a>(deaths: impl Iterator<Item = (Fingerprint, &'a Death)>) -> Told {
     let deaths = deaths.map(|(it, death)| (it, death.clone()));
     Told { deaths: deaths.collect(), sound: Vec::new() }
 }
 
 impl Router {
-    /// Records that a target broke off an attempt. It may have ended.
+    /// Records that a target interrupted an attempt. The target may have ended.
     pub(crate) fn attempt_interrupted(&mut self, cx: CX![], id: RequestId, target: &str) {
         let now = clock::now();
         let Some(open) = self.open.get(&id) else { return };
         if self.targets.is_leaving(now, target) {
-            // Its end is planned.
+            // A leaving target ends as planned, not because of the request.
             return;
         }
         let death = Death {
@@ -157,123 +162,133 @@
             sent: open.sent,
             ended: now,
         };
-        let case = Interrupted { request: id, fingerprint: open.fingerprint(), death };
-        match self.watch.deaths.record_interrupted(now, case) {
-            Some(case) => self.target_ended(cx, case),
+        let interrupted = Interrupted { request: id, fingerprint: open.fingerprint(), death };
+        match self.watch.deaths.record_interrupted(now, interrupted) {
+            Some(ended) => self.target_ended(cx, ended),
             None => self.probe(cx, now, target),
         }
     }
 
-    /// Looks whether a target that broke off a request takes connections: that
-    /// proves its end in milliseconds, the instance list in seconds.
+    /// Probes whether a target that interrupted a request still accepts connections. A refusal
+    /// proves its end within milliseconds, while the instance list takes seconds.
     fn probe(&mut self, cx: CX![], now: Millis, target: &str) {
-        let told = self.targets.members().get(target).is_some_and(|it| it.linked);
-        if told && !self.watch.probes.take(now) {
+        let has_agent = self.targets.members().get(target).is_some_and(|it| it.linked);
+        if has_agent && !self.watch.probes.take(now) {
             return;
         }
         if let Some(to) = self.targets.destination(target) {
             self.pool.probe(cx, now, to);
         }
-        if !told {
+        if !has_agent {
             let target = target.to_owned();
-            after!(LOOK_AGAIN, [cx], probe_again(target));
+            after!(SECOND_PROBE_DELAY, [cx], probe_again(target));
         }
     }
 
-    /// A process that ends may close its connections before it stops to listen.
+    /// Probes a target a second time: a process that ends may close its connections before its
+    /// listening socket.
     fn probe_again(&mut self, cx: CX![], target: String) {
-        let waits = self.watch.deaths.is_pending(&target);
-        if let Some(to) = self.targets.destination(&target).filter(|_| waits) {
+        let is_pending = self.watch.deaths.is_pending(&target);
+        if let Some(to) = self.targets.destination(&target).filter(|_| is_pending) {
             self.pool.probe(cx, clock::now(), to);
         }
     }
 
     /// Records that a target refuses connections: its process has ended.
     pub(crate) fn target_refuses(&mut self, cx: CX![], target: &str) {
-        for case in self.watch.deaths.record_refusal(clock::now(), target) {
-            self.target_ended(cx, case);
+        for ended in self.watch.deaths.record_refusal(clock::now(), target) {
+            self.target_ended(cx, ended);
         }
     }
 
-    /// Records that the instance list names a target no more, or a later life of it.
+    /// Records that the instance list no longer contains a target, or contains a later incarnation.
     pub(crate) fn target_gone(&mut self, cx: CX![], target: &str) {
-        for case in self.watch.deaths.record_gone(clock::now(), target) {
-            self.target_ended(cx, case);
+        for ended in self.watch.deaths.record_gone(clock::now(), target) {
+            self.target_ended(cx, ended);
         }
     }
 
-    fn target_ended(&mut self, cx: CX![], case: Interrupted) {
-        let target = case.death.target.clone();
-        self.traces.add(case.death.ended, case.request, Step::TargetEnded { target });
-        self.suspect(cx, case.fingerprint, case.death, None);
+    fn target_ended(&mut self, cx: CX![], ended: Interrupted) {
+        let target = ended.death.target.clone();
+        self.traces.add(ended.death.ended, ended.request, Step::TargetEnded { target });
+        self.record_death(cx, ended.fingerprint, ended.death, None);
     }
 
-    /// Takes what another process tells of requests.
-    pub(crate) fn receive_suspects(&mut self, cx: CX![], peer: PeerKey, it: wire::Suspects) {
-        let Ok(told) = Told::parse(it) else {
+    /// Processes the records of suspected requests that a peer or agent sent.
+    pub(crate) fn receive_suspects(&mut self, cx: CX![], peer: PeerKey, message: wire::Suspects) {
+        let Ok(records) = Told::parse(message) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
-        for (it, death) in told.deaths {
-            self.suspect(cx, it, death, Some(peer));
+        for (fingerprint, death) in records.deaths {
+            self.record_death(cx, fingerprint, death, Some(peer));
         }
-        for it in told.sound {
-            self.clear_suspect(it);
+        for fingerprint in records.sound {
+            self.clear_suspect(fingerprint);
         }
     }
 
-    /// Counts the end of a target under a request, seen here or told by `peer`.
-    fn suspect(&mut self, cx: CX![], it: Fingerprint, death: Death, peer: Option<PeerKey>) {
+    /// Records that a target ended while running a request, as observed here or reported by `peer`.
+    /// Blocks the request if that proves it to be the cause.
+    fn record_death(
+        &mut self,
+        cx: CX![],
+        fingerprint: Fingerprint,
+        death: Death,
+        peer: Option<PeerKey>,
+    ) {
         let now = clock::now();
         let evicted = self.watch.suspects.evicted();
-        let change = self.watch.suspects.record(now, it, death.clone());
+        let change = self.watch.suspects.record(now, fingerprint, death.clone());
         self.metrics.suspects_evicted.inc_by(self.watch.suspects.evicted() - evicted);
         match change {
             Change::Nothing => return,
-            Change::Cleared => return self.announce_cleared(it),
+            Change::Cleared => return self.announce_cleared(fingerprint),
             Change::Counted | Change::Blocked => {}
         }
         let source = if peer.is_some() { "told" } else { "seen" };
         self.metrics.deaths.with_label_values(&[source]).inc();
-        slog::warn!(self.log, "target ended under a request"; "fingerprint" => %it,
+        slog::warn!(self.log, "target ended under a request"; "fingerprint" => %fingerprint,
             "target" => &death.target, "born" => death.born, "request_sent" => death.sent,
             "ended" => death.ended, "source" => source, "held" => change == Change::Blocked);
-        if self.watch.untold.deaths.len() < BACKLOG {
-            self.watch.untold.deaths.push((it, death));
+        if self.watch.unsent.deaths.len() < MAX_BACKLOG {
+            self.watch.unsent.deaths.push((fingerprint, death));
         }
-        if self.watch.untold.deaths.len() < BATCH {
-            // At once: the next copy may be on its way to another entry.
+        if self.watch.unsent.deaths.len() < MAX_BATCH {
+            // Sent at once, since another entry may be about to send a duplicate of the request.
             self.send_suspects();
         }
         if change == Change::Blocked {
-            self.block_suspect(cx, now, it);
+            self.block_suspect(cx, now, fingerprint);
         }
     }
 
-    /// Gives up the copies of a request that are under way, and has agents
-    /// remember it for entries that start anew.
-    fn block_suspect(&mut self, cx: CX![], now: Millis, it: Fingerprint) {
-        let copies = self.open.iter().filter(|(_, open)| open.fingerprint() == it);
-        let copies: Vec<RequestId> = copies.map(|(id, _)| *id).collect();
-        for id in copies {
+    /// Fails the concurrent duplicates of a blocked request, and has agents store all blocked
+    /// requests for entries that restart.
+    fn block_suspect(&mut self, cx: CX![], now: Millis, fingerprint: Fingerprint) {
+        let duplicates = self.open.iter().filter(|(_, open)| open.fingerprint() == fingerprint);
+        let duplicates: Vec<RequestId> = duplicates.map(|(id, _)| *id).collect();
+        for id in duplicates {
             self.set_retry_delay(now, id);
             self.event(cx, id, 0, Event::EndsTargets);
         }
-        let Some(held) = self.watch.held(now) else { return };
-        let body = held.body();
-        for peer in self.targets.replica_agents(&it.to_string()) {
+        let Some(blocked) = self.watch.blocked_message(now) else { return };
+        let body = blocked.body();
+        for peer in self.targets.replica_agents(&fingerprint.to_string()) {
             call!([self.mesh], send(peer, body.clone()));
         }
     }
 
-    /// Says when the caller of a request that is held back may come again.
-    /// Returns false for one that is not.
+    /// Sets the retry delay for the caller of a request that may not be sent now, as a suspect.
+    /// Returns false if the request may be sent.
     fn set_retry_delay(&mut self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return false };
-        let it = open.fingerprint();
-        let until = match self.watch.suspects.standing(now, it) {
+        let fingerprint = open.fingerprint();
+        let until = match self.watch.suspects.standing(now, fingerprint) {
             Standing::Blocked(until) => Some(until),
-            Standing::Suspect => self.watch.suspects.paused_until(now, it, self.trial(id, open)),
+            Standing::Suspect => {
+                self.watch.suspects.paused_until(now, fingerprint, self.trial(id, open))
+            }
             Standing::Clear => None,
         };
         if let Some(until) = until
@@ -285,67 +300,71 @@
     }
 
     fn trial(&self, id: RequestId, open: &Open) -> Trial {
-        let it = open.fingerprint();
-        let several = self.watch.suspects.deaths_of(it).len() >= 2;
-        let copy = |(other, copy): (&RequestId, &Open)| {
-            *other != id && copy.counted.is_some() && copy.fingerprint() == it
+        let fingerprint = open.fingerprint();
+        let several = self.watch.suspects.deaths_of(fingerprint).len() >= 2;
+        let is_duplicate = |(other, duplicate): (&RequestId, &Open)| {
+            *other != id && duplicate.counted.is_some() && duplicate.fingerprint() == fingerprint
         };
         Trial {
             expensive: self.targets.is_single_group(&open.served),
-            owner: several && self.targets.owns(&it.to_string()),
-            busy: several && self.open.iter().any(copy),
+            owner: several && self.targets.owns(&fingerprint.to_string()),
+            busy: several && self.open.iter().any(is_duplicate),
         }
     }
 
-    /// Refuses a request that is held back. Whether it is.
+    /// Refuses a request that may not be sent now, as a suspect. Returns whether it was refused.
     pub(crate) fn refuse_if_blocked(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
         if self.watch.suspects.is_empty() || !self.set_retry_delay(now, id) {
             return false;
         }
         let Some(open) = self.open.get_mut(&id) else { return false };
-        slog::warn!(self.log, "held back"; "id" => &open.run.label,
+        slog::warn!(self.log, "request blocked as a suspect"; "id" => &open.run.label,
             "fingerprint" => %open.fingerprint(), "for" => open.comeback);
         let actions = open.flight.refuse(Refusal::EndsTargets);
         self.act(cx, id, actions);
         true
     }
 
-    /// A line when a suspected request is sent on all the same.
+    /// Logs a suspected request that is sent.
     pub(crate) fn log_suspect(&self, now: Millis, id: RequestId) {
         let Some(open) = self.open.get(&id) else { return };
-        let it = open.fingerprint();
-        if self.watch.suspects.standing(now, it) == Standing::Suspect {
-            let ended = self.watch.suspects.deaths_of(it).len();
-            slog::warn!(self.log, "suspect tried"; "id" => &open.run.label, "fingerprint" => %it,
-                "ended" => ended, "attempt" => open.flight.attempt().number);
+        let fingerprint = open.fingerprint();
+        if self.watch.suspects.standing(now, fingerprint) == Standing::Suspect {
+            let ended = self.watch.suspects.deaths_of(fingerprint).len();
+            slog::warn!(self.log, "suspected request sent"; "id" => &open.run.label,
+                "fingerprint" => %fingerprint, "ended" => ended,
+                "attempt" => open.flight.attempt().number);
         }
     }
 
-    /// Records that a target ran a request to its end.
+    /// Records that a target completed a request, which clears the request if it was suspected.
     pub(crate) fn request_completed(&mut self, id: RequestId) {
-        let Some(it) = self.open.get(&id).map(crate::open::Open::fingerprint) else { return };
-        if self.watch.suspects.record_completed(clock::now(), it) {
-            self.announce_cleared(it);
+        let Some(fingerprint) = self.open.get(&id).map(crate::open::Open::fingerprint) else {
+            return;
+        };
+        if self.watch.suspects.record_completed(clock::now(), fingerprint) {
+            self.announce_cleared(fingerprint);
         }
     }
 
-    fn clear_suspect(&mut self, it: Fingerprint) {
-        if self.watch.suspects.clear(clock::now(), it) {
-            self.announce_cleared(it);
+    fn clear_suspect(&mut self, fingerprint: Fingerprint) {
+        if self.watch.suspects.clear(clock::now(), fingerprint) {
+            self.announce_cleared(fingerprint);
         }
     }
 
-    fn announce_cleared(&mut self, it: Fingerprint) {
-        slog::info!(self.log, "request no longer suspected"; "fingerprint" => %it);
-        if self.watch.untold.sound.len() < BACKLOG {
-            self.watch.untold.sound.push(it);
+    /// Logs that a request is cleared and adds it to the records for the other entries.
+    fn announce_cleared(&mut self, fingerprint: Fingerprint) {
+        slog::info!(self.log, "request no longer suspected"; "fingerprint" => %fingerprint);
+        if self.watch.unsent.sound.len() < MAX_BACKLOG {
+            self.watch.unsent.sound.push(fingerprint);
         }
     }
 
-    /// Tells the other entries what is new.
+    /// Sends the next records to the other entries.
     pub(crate) fn send_suspects(&mut self) {
-        let Some(told) = self.watch.next_told() else { return };
-        let body = told.body();
+        let Some(message) = self.watch.next_message() else { return };
+        let body = message.body();
         for peer in self.watch.entries() {
             call!([self.mesh], send(peer, body.clone()));
         }
