--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router towards what targets say of themselves with their answers: that they want to
-//! rest, which binds this entry, that they leave, which is true for all entries, and what they
-//! take from all of them together.
+//! Notices that targets announce about themselves in responses, as part of the router: a requested
+//! pause, which binds this entry; that the target leaves, which applies to all entries; and the
+//! rate limit that it accepts from all entries together.
 
 use sablepass_core::id::{Millis, TargetIncarnation};
 use sablepass_core::limits::{Change, Rate};
@@ -19,12 +19,12 @@
 use crate::router::Router;
 use crate::trace::Step;
 
-/// Who said that a target leaves.
+/// Source of a notice that a target leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// Its own answer.
+    /// A response of the target.
     Response,
-    /// Another entry.
+    /// A message of another entry.
     Peer,
 }
 
@@ -38,65 +38,69 @@
 }
 
 impl Router {
-    /// Records that a target turned a request away, and how long it wants to rest.
+    /// Records that a target rejected a request, and the pause that it requested with the response.
     pub(crate) fn target_rejected(
         &mut self,
         now: Millis,
         carried: Carried,
-        it: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         status: u16,
         meta: &Meta,
     ) {
         let (asked, rest) = match meta.rest {
             Rest::None => ("nothing", None),
-            Rest::For(it) => ("rest", Some(it)),
+            Rest::For(duration) => ("rest", Some(duration)),
             Rest::Unread => ("unread", None),
         };
         self.metrics.turned_away.with_label_values(&[asked]).inc();
-        let begins = rest.is_some_and(|asked| self.targets.record_pause(now, it, asked));
+        let begins =
+            rest.is_some_and(|duration| self.targets.record_pause(now, incarnation, duration));
         self.traces.add(
             now,
             carried.request,
-            Step::TurnedAway { target: it.name.to_owned(), rest },
+            Step::TurnedAway { target: incarnation.name.to_owned(), rest },
         );
         let label = self.open.get(&carried.request).map(|it| it.run.label.as_str());
-        slog::info!(self.log, "turned away"; "id" => label, "target" => it.name, "born" => it.started_at,
-            "attempt" => carried.attempt, "status" => status, "not_run" => meta.proof == Proof::NotRun,
-            "asked" => asked, "rest" => rest, "begins" => begins, "load" => ?meta.load);
+        slog::info!(self.log, "target rejected a request"; "id" => label,
+            "target" => incarnation.name, "born" => incarnation.started_at,
+            "attempt" => carried.attempt, "status" => status,
+            "not_run" => meta.proof == Proof::NotRun, "asked" => asked, "rest" => rest,
+            "begins" => begins, "load" => ?meta.load);
     }
 
-    /// Takes the limit that a target names with an answer, or that it names none.
+    /// Processes the limit that a target announces with a response, or that it announces none, and
+    /// reports changes to the other entries.
     pub(crate) fn limit_announced(
         &mut self,
         now: Millis,
         carried: Carried,
-        it: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         limit: Limit,
     ) {
-        let named = match limit {
+        let announced = match limit {
             Limit::None => None,
-            Limit::Of(it) => Some(it),
+            Limit::Of(rate) => Some(rate),
             Limit::Unread => {
                 self.metrics.limits_named.with_label_values(&["unread"]).inc();
                 return;
             }
         };
-        if named.is_some() {
+        if announced.is_some() {
             self.metrics.limits_named.with_label_values(&["read"]).inc();
         }
         let open = self.open.get(&carried.request);
         let open = open.filter(|it| it.flight.attempt().number == carried.attempt);
         let sent = open.map_or(0, |it| it.sent);
         let label = open.map(|it| it.run.label.clone());
-        let change = self.targets.limit_announced(now, it, sent, named);
-        self.log_limit_change(it, change, label.as_deref(), "seen");
-        self.send_limit(it, change);
+        let change = self.targets.limit_announced(now, incarnation, sent, announced);
+        self.log_limit_change(incarnation, change, label.as_deref(), "seen");
+        self.send_limit(incarnation, change);
     }
 
-    /// Logs what became of a target's limit.
+    /// Logs a change of a target's limit. `label` is the id of the request that brought it, if any.
     fn log_limit_change(
         &self,
-        it: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         change: Change,
         label: Option<&str>,
         source: &str,
@@ -104,34 +108,36 @@
         match change {
             Change::None => {}
             Change::Set(rate) => {
-                let part = self.targets.limit(it).map(|it| it.bucket.per_second());
-                slog::info!(self.log, "limit holds"; "target" => it.name, "born" => it.started_at,
-                    "limit" => rate.per_second(), "part" => part, "source" => source, "id" => label);
+                let share = self.targets.limit(incarnation).map(|it| it.bucket.per_second());
+                slog::info!(self.log, "target limit set"; "target" => incarnation.name,
+                    "born" => incarnation.started_at, "limit" => rate.per_second(),
+                    "part" => share, "source" => source, "id" => label);
             }
-            Change::Ended => slog::info!(self.log, "limit ends"; "target" => it.name,
-                "born" => it.started_at, "source" => source, "id" => label),
+            Change::Ended => slog::info!(self.log, "target limit ended";
+                "target" => incarnation.name, "born" => incarnation.started_at,
+                "source" => source, "id" => label),
         }
     }
 
-    /// Tells the other entries what became of a target's limit.
-    fn send_limit(&self, it: TargetIncarnation<'_>, change: Change) {
+    /// Sends a change of a target's limit to the other entries.
+    fn send_limit(&self, incarnation: TargetIncarnation<'_>, change: Change) {
         let rate = match change {
             Change::None => return,
             Change::Set(rate) => Some(rate),
             Change::Ended => None,
         };
-        self.broadcast(&Told { limits: vec![(it, rate)], ..Told::default() });
+        self.broadcast(&Told { limits: vec![(incarnation, rate)], ..Told::default() });
     }
 
-    /// Takes what the agent before a target says of its limit.
+    /// Processes the report of a target's limit by its agent.
     pub(crate) fn limit_reported_by_agent(&mut self, now: Millis, name: &str, rate: Option<Rate>) {
         let change = self.targets.limit_reported_by_agent(now, name, rate);
         let born = self.targets.started_at(name);
         self.log_limit_change(TargetIncarnation { name, started_at: born }, change, None, "agent");
     }
 
-    /// Believes what other entries told of limits, once nothing has spoken against it for a
-    /// while, and says how much all limits allow.
+    /// Applies the limits reported by other entries that no response has contradicted for a while,
+    /// and updates the metrics of all limits.
     pub(crate) fn apply_pending_limits(&mut self, now: Millis) {
         for (name, change) in self.targets.apply_pending_limits(now) {
             let born = self.targets.started_at(&name);
@@ -143,112 +149,117 @@
             );
         }
         let (mut all, mut own) = (0.0, 0.0);
-        for (_, it) in self.targets.limits() {
-            all += it.rate().per_second();
-            own += it.bucket.per_second();
+        for (_, limit) in self.targets.limits() {
+            all += limit.rate().per_second();
+            own += limit.bucket.per_second();
         }
         self.metrics.limits.with_label_values(&["all"]).set(all);
         self.metrics.limits.with_label_values(&["own"]).set(own);
     }
 
-    /// Counts an answer to a request that was sent while its target rested, or after it was
-    /// known to leave. There is none: whoever sees these counts grow has found a fault of the
-    /// entry.
+    /// Counts a response to a request that was sent while its target was paused, or after the
+    /// target was known to leave. That never happens unless the entry has a bug.
     pub(crate) fn check_notices_respected(
         &self,
         now: Millis,
         carried: Carried,
-        it: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
     ) {
         let Some(open) = self.open.get(&carried.request) else { return };
-        if self.targets.was_leaving_before(it, open.sent) {
+        if self.targets.was_leaving_before(incarnation, open.sent) {
             self.metrics.sent_to_leaving.inc();
-            slog::error!(self.log, "sent to a target that leaves"; "id" => &open.run.label,
-                "target" => it.name, "born" => it.started_at, "sent" => open.sent);
+            slog::error!(self.log, "request was sent to a leaving target";
+                "id" => &open.run.label, "target" => incarnation.name,
+                "born" => incarnation.started_at, "sent" => open.sent);
         }
-        if self.targets.was_paused_before(now, it, open.sent) {
+        if self.targets.was_paused_before(now, incarnation, open.sent) {
             self.metrics.sent_to_resting.inc();
-            slog::error!(self.log, "sent to a target that rests"; "id" => &open.run.label,
-                "target" => it.name, "born" => it.started_at, "sent" => open.sent);
+            slog::error!(self.log, "request was sent to a paused target";
+                "id" => &open.run.label, "target" => incarnation.name,
+                "born" => incarnation.started_at, "sent" => open.sent);
         }
     }
 
-    /// Records that a target leaves: it gets nothing more in this life. Whether that is new.
+    /// Records that a target leaves, so that its incarnation gets no more work. Returns whether
+    /// that is new.
     pub(crate) fn target_leaving(
         &mut self,
         now: Millis,
-        it: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         source: Source,
     ) -> bool {
-        let begins = self.targets.record_leaving(now, it);
-        if begins {
+        let is_new = self.targets.record_leaving(now, incarnation);
+        if is_new {
             self.metrics.left.with_label_values(&[source.label()]).inc();
-            slog::info!(self.log, "target leaves"; "target" => it.name, "born" => it.started_at,
-                "source" => source.label());
-            self.pool.leave(it.name);
+            slog::info!(self.log, "target leaves"; "target" => incarnation.name,
+                "born" => incarnation.started_at, "source" => source.label());
+            self.pool.leave(incarnation.name);
         }
-        begins
+        is_new
     }
 
-    /// Tells the other entries that a target leaves.
-    pub(crate) fn send_leaving(&self, it: TargetIncarnation<'_>) {
-        self.broadcast(&Told { leaving: vec![it], ..Told::default() });
+    /// Sends the notice that a target leaves to the other entries.
+    pub(crate) fn send_leaving(&self, incarnation: TargetIncarnation<'_>) {
+        self.broadcast(&Told { leaving: vec![incarnation], ..Told::default() });
     }
 
-    fn broadcast(&self, it: &Told<'_>) {
-        let body = it.body();
+    /// Sends notices to all connected entries.
+    fn broadcast(&self, notices: &Told<'_>) {
+        let body = notices.body();
         for peer in self.watch.entries() {
             call!([self.mesh], send(peer, body.clone()));
         }
     }
 
-    /// Tells all entries which targets leave, and their limits, as one that did not run
-    /// meanwhile cannot learn it from the list any more.
+    /// Sends all notices to all entries again, after the instance list was restored: an entry that
+    /// was not running meanwhile can no longer learn them from the list.
     pub(crate) fn resend_notices(&self) {
         self.watch.entries().for_each(|it| self.send_all_notices(it));
     }
 
-    /// Tells an entry that connects which targets leave, and their limits.
+    /// Sends all notices, the leaving targets and the limits, to one entry.
     pub(crate) fn send_all_notices(&self, peer: PeerKey) {
         let limits = self.targets.limits().map(|(it, limit)| (it, Some(limit.rate())));
-        let told = Told {
+        let notices = Told {
             leaving: self.targets.leaving_incarnations().collect(),
             limits: limits.collect(),
         };
-        if !told.is_empty() {
-            call!([self.mesh], send(peer, told.body()));
+        if !notices.is_empty() {
+            call!([self.mesh], send(peer, notices.body()));
         }
     }
 
-    /// Takes what another entry tells of targets.
-    pub(crate) fn receive_notices(&mut self, it: &wire::Notices) {
-        let Ok(told) = notices::parse(it) else {
+    /// Processes the notices that another entry sent.
+    pub(crate) fn receive_notices(&mut self, message: &wire::Notices) {
+        let Ok(received) = notices::parse(message) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
         let now = clock::now();
-        let mut news = Vec::new();
-        for it in told.leaving {
-            if self.keeps_notice(it) && self.target_leaving(now, it, Source::Peer) {
-                news.push(it);
+        let mut new = Vec::new();
+        for incarnation in received.leaving {
+            if self.keeps_notice(incarnation) && self.target_leaving(now, incarnation, Source::Peer)
+            {
+                new.push(incarnation);
             }
         }
-        if !news.is_empty() {
-            // Entries that know each other by seeds are connected to those only.
-            self.broadcast(&Told { leaving: news, ..Told::default() });
+        if !new.is_empty() {
+            // Forwarded, since entries that know each other from configured seeds are connected to
+            // those seeds only.
+            self.broadcast(&Told { leaving: new, ..Told::default() });
         }
-        for (it, rate) in told.limits {
-            if !self.keeps_notice(it) {
+        for (incarnation, rate) in received.limits {
+            if !self.keeps_notice(incarnation) {
                 continue;
             }
-            let change = self.targets.limit_reported_by_peer(now, it, rate);
-            self.log_limit_change(it, change, None, "told");
+            let change = self.targets.limit_reported_by_peer(now, incarnation, rate);
+            self.log_limit_change(incarnation, change, None, "told");
         }
     }
 
-    /// Whether what is told of a target is kept; counts it if not.
-    fn keeps_notice(&self, it: TargetIncarnation<'_>) -> bool {
-        let keeps = self.targets.keeps_notice(it);
+    /// Whether a notice about a target is kept; counts it as ignored if not.
+    fn keeps_notice(&self, incarnation: TargetIncarnation<'_>) -> bool {
+        let keeps = self.targets.keeps_notice(incarnation);
         if !keeps {
             self.metrics.ignored(Ignored::ManyNotices);
         }
