--- a/crates/sablepass-entry/src/turns.rs
+++ b/crates/sablepass-entry/src/turns.rs
@@ -1,11 +1,11 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router towards targets that get as many requests as they take: a request that has
-//! nowhere else to go has its turn under the limit of one, at once or after a wait that is
-//! known, or it is refused and its caller told when there is one.
+//! Turns under the rate limits of targets, as part of the router: a turn is the permission to send
+//! one request. A request all of whose targets are at their limits reserves a turn at one of them,
+//! for now or after a known wait, or is refused with a retry delay.
 //!
-//! An entry that holds no part of a limit asks one that does.
+//! An entry that holds no share of a limit requests the turn from a peer that does.
 
 use std::collections::BTreeMap;
 
@@ -22,74 +22,78 @@
 use crate::router::{RESUME_WAIT, Router};
 use crate::trace::Step;
 
-/// How long an entry waits for another one's answer: some ways between regions.
-const ANSWERS: Millis = 150;
-/// Milliseconds of a second.
-const SECOND: f64 = 1_000.0;
+/// How long an entry waits for a peer's answer: several one-way latencies between regions.
+const ANSWER_TIMEOUT: Millis = 150;
+const MS_PER_SECOND: f64 = 1_000.0;
 
-/// How a request waits for its turn.
+/// State of a request that waits for its turn.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingTurn {
-    /// Another entry was asked for one at this target, and is waited for until then.
+    /// A turn at this target was requested from a peer, whose answer is awaited until this time.
     Requested { target: String, peer: PeerKey, until: Millis },
-    /// Its turn is known.
+    /// A turn is reserved.
     Granted(GrantedTurn),
 }
 
-/// A turn at a target.
+/// A turn reserved at a target.
 #[derive(Clone, Debug)]
 pub(crate) struct GrantedTurn {
     target: String,
-    born: Millis,
+    /// Start time of the target's incarnation.
+    started_at: Millis,
+    /// When the request may be sent.
     at: Millis,
 }
 
 impl GrantedTurn {
-    /// The life of the target whose limit it was taken from.
+    /// The incarnation of the target under whose limit the turn is reserved.
     pub(crate) fn incarnation(&self) -> TargetIncarnation<'_> {
-        TargetIncarnation { name: &self.target, started_at: self.born }
+        TargetIncarnation { name: &self.target, started_at: self.started_at }
     }
 }
 
 impl PendingTurn {
-    /// The turn, if it is known.
+    /// The turn, if one is reserved.
     pub(crate) fn granted(self) -> Option<GrantedTurn> {
         match self {
-            Self::Granted(it) => Some(it),
+            Self::Granted(turn) => Some(turn),
             Self::Requested { .. } => None,
         }
     }
 }
 
-/// When each of the other entries said that the next turn of its part comes, by target.
+/// When peers have their next turns at targets, as they reported.
 #[derive(Debug, Default)]
 pub struct PeerTurns {
+    /// Time of the next turn, by target and peer.
     next: BTreeMap<(String, PeerKey), Millis>,
 }
 
 impl PeerTurns {
-    /// Milliseconds until the next turn that an entry has at a target; none if it did not
-    /// say, or that is over.
+    /// Milliseconds until a peer's next turn at a target; none if the peer reported none, or the
+    /// reported time has passed.
     fn wait(&self, now: Millis, target: &str, peer: PeerKey) -> Option<Millis> {
         let at = self.next.get(&(target.to_owned(), peer))?;
         at.checked_sub(now).filter(|it| *it > 0)
     }
 
-    /// The same of whichever entry has the first one.
+    /// Milliseconds until the first turn of any peer at a target; none if none is known.
     fn soonest(&self, now: Millis, target: &str) -> Option<Millis> {
-        let there = self.next.iter().filter(|it| it.0.0 == target);
-        there.filter_map(|it| it.1.checked_sub(now)).filter(|it| *it > 0).min()
+        let turns = self.next.iter().filter(|it| it.0.0 == target);
+        turns.filter_map(|it| it.1.checked_sub(now)).filter(|it| *it > 0).min()
     }
 
-    fn heard(&mut self, now: Millis, target: &str, peer: PeerKey, wait: Millis) {
+    /// Records a peer's report of its next turn, in `wait` milliseconds.
+    fn record(&mut self, now: Millis, target: &str, peer: PeerKey, wait: Millis) {
         self.next.retain(|_, at| *at > now);
         self.next.insert((target.to_owned(), peer), now.saturating_add(wait));
     }
 }
 
 impl Router {
-    /// Finds a turn for a request whose targets all get as many as they take now, or
-    /// refuses it. False if that is not why it has no target, or if it can wait for another.
+    /// Finds a turn for a request all of whose targets are at their limits, or refuses the request.
+    /// Returns false if limits are not the reason why it has no target, or if its answer has
+    /// started, so that it can wait for a target.
     pub(crate) fn seek_turn(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return true };
         if open.owner.is_some() {
@@ -99,9 +103,9 @@
         if limited.is_empty() {
             return false;
         }
-        let most = self.max_useful_wait(now, id);
-        if self.reserve_own_turn(now, id, &limited, most)
-            || self.request_turn(now, id, &limited, most)
+        let max_wait = self.max_useful_wait(now, id);
+        if self.reserve_own_turn(now, id, &limited, max_wait)
+            || self.request_turn(now, id, &limited, max_wait)
         {
             return true;
         }
@@ -113,112 +117,127 @@
         true
     }
 
-    /// How long a request may wait for its turn and be answered in time.
+    /// Milliseconds for which a request may wait for its turn and still be answered in time.
     fn max_useful_wait(&self, now: Millis, id: RequestId) -> Millis {
         let Some(open) = self.open.get(&id) else { return 0 };
         let deadline = open.flight.request().deadline;
         if open.begun {
             return deadline.min(open.spoke + RESUME_WAIT).saturating_sub(now);
         }
-        let opens = self.starts.get(&open.served).map_or(0, |it| it.time_to_first_event());
+        let first_event = self.starts.get(&open.served).map_or(0, |it| it.time_to_first_event());
         let objective = open.route.as_ref().map_or(0, |it| it.objective);
-        deadline.min(open.run.arrived + objective).saturating_sub(now + opens)
+        deadline.min(open.run.arrived + objective).saturating_sub(now + first_event)
     }
 
-    /// Takes a turn of this entry's own part: the next one there is.
+    /// Reserves the next turn in this entry's own shares of the limits, if it comes within
+    /// `max_wait` milliseconds.
     fn reserve_own_turn(
         &mut self,
         now: Millis,
         id: RequestId,
         limited: &[String],
-        most: Millis,
+        max_wait: Millis,
     ) -> bool {
         let turn = |it: &String| Some((self.targets.next_turn(now, it)?, it.clone()));
         let Some((_, target)) = limited.iter().filter_map(turn).min() else { return false };
-        let born = self.targets.started_at(&target);
-        match self.targets.reserve(now, TargetIncarnation { name: &target, started_at: born }, most)
-        {
+        let started_at = self.targets.started_at(&target);
+        match self.targets.reserve(now, TargetIncarnation { name: &target, started_at }, max_wait) {
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["own"]).inc();
-                self.schedule_turn(now, id, GrantedTurn { target, born, at: now + wait });
+                self.schedule_turn(now, id, GrantedTurn { target, started_at, at: now + wait });
                 true
             }
             Turn::TooLate(_) | Turn::Never => false,
         }
     }
 
-    fn schedule_turn(&mut self, now: Millis, id: RequestId, it: GrantedTurn) {
+    /// Has a request wait for the turn that is reserved for it.
+    fn schedule_turn(&mut self, now: Millis, id: RequestId, turn: GrantedTurn) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        let wait = it.at.saturating_sub(now);
-        slog::info!(self.log, "has its turn"; "id" => &open.run.label, "target" => &it.target,
-            "wait" => wait);
-        self.traces.add(now, id, Step::Turn { target: it.target.clone(), wait });
+        let wait = turn.at.saturating_sub(now);
+        slog::info!(self.log, "turn reserved under a target's limit"; "id" => &open.run.label,
+            "target" => &turn.target, "wait" => wait);
+        self.traces.add(now, id, Step::Turn { target: turn.target.clone(), wait });
         open.waiting = Some(now);
-        open.slot = Some(PendingTurn::Granted(it));
+        open.slot = Some(PendingTurn::Granted(turn));
     }
 
-    /// Asks an entry that holds the limit of one of these targets, unless it is known
-    /// that none has a turn in time.
+    /// Requests a turn from a random peer that holds the limit of one of these targets, unless
+    /// peers have reported that they have none within `max_wait` milliseconds. Returns whether a
+    /// turn was requested.
     fn request_turn(
         &mut self,
         now: Millis,
         id: RequestId,
         limited: &[String],
-        most: Millis,
+        max_wait: Millis,
     ) -> bool {
         if self.open.get(&id).is_none_or(|it| it.sought) {
             return false;
         }
         let useful = |target: &String, peer: &PeerKey| {
-            self.turns.wait(now, target, *peer).is_none_or(|it| it <= most)
+            self.turns.wait(now, target, *peer).is_none_or(|it| it <= max_wait)
         };
-        let mut asked: Vec<(&String, PeerKey)> = Vec::new();
+        let mut candidates: Vec<(&String, PeerKey)> = Vec::new();
         for target in limited {
             let holders = self.targets.limit_holders(target).into_iter();
             let peers = holders.filter_map(|it| self.watch.entry(it));
-            asked.extend(peers.filter(|it| useful(target, it)).map(|it| (target, it)));
+            candidates.extend(peers.filter(|it| useful(target, it)).map(|it| (target, it)));
         }
-        if asked.is_empty() {
+        if candidates.is_empty() {
             return false;
         }
-        let (target, peer) = asked[self.rng.random_range(0..asked.len())];
-        let life = TargetIncarnation { name: target, started_at: self.targets.started_at(target) };
-        call!([self.mesh], send(peer, turns::ask(Ask { target: life, request: id, most })));
+        let (target, peer) = candidates[self.rng.random_range(0..candidates.len())];
+        let incarnation =
+            TargetIncarnation { name: target, started_at: self.targets.started_at(target) };
+        call!(
+            [self.mesh],
+            send(peer, turns::ask(Ask { target: incarnation, request: id, most: max_wait }))
+        );
         if let Some(open) = self.open.get_mut(&id) {
             open.sought = true;
             open.waiting = Some(now);
-            open.slot =
-                Some(PendingTurn::Requested { target: target.clone(), peer, until: now + ANSWERS });
+            open.slot = Some(PendingTurn::Requested {
+                target: target.clone(),
+                peer,
+                until: now + ANSWER_TIMEOUT,
+            });
         }
         true
     }
 
+    /// Refuses a request whose targets are all at their limits. Its retry delay is the time to the
+    /// next known turn, or else the mean interval between requests, plus a random part of that
+    /// interval so that callers do not come back together.
     fn refuse_limited(&mut self, cx: CX![], now: Millis, id: RequestId, limited: &[String]) {
-        let every = |it: &String| {
-            let life = TargetIncarnation { name: it, started_at: self.targets.started_at(it) };
-            let limit = self.targets.limit(life)?;
+        let target_rate = |it: &String| {
+            let incarnation =
+                TargetIncarnation { name: it, started_at: self.targets.started_at(it) };
+            let limit = self.targets.limit(incarnation)?;
             Some(limit.rate().usable().per_second())
         };
-        let rate: f64 = limited.iter().filter_map(every).sum();
-        let every = (SECOND / rate.max(f64::MIN_POSITIVE)).ceil() as Millis;
+        let rate: f64 = limited.iter().filter_map(target_rate).sum();
+        let interval = (MS_PER_SECOND / rate.max(f64::MIN_POSITIVE)).ceil() as Millis;
         let known =
             |it: &String| self.targets.next_turn(now, it).or_else(|| self.turns.soonest(now, it));
-        let next = limited.iter().filter_map(known).min().unwrap_or(every);
-        let spread = self.rng.random_range(0..=every);
+        let next = limited.iter().filter_map(known).min().unwrap_or(interval);
+        let spread = self.rng.random_range(0..=interval);
         let Some(open) = self.open.get_mut(&id) else { return };
-        slog::info!(self.log, "no turn"; "id" => &open.run.label, "limited" => limited.len(),
-            "limits" => rate, "next" => next, "asked" => open.sought);
+        slog::info!(self.log, "request refused: all targets at their limits";
+            "id" => &open.run.label, "limited" => limited.len(), "limits" => rate,
+            "next" => next, "asked" => open.sought);
         open.comeback = Some(next.saturating_add(spread));
         let actions = open.flight.refuse(Refusal::TargetsLimited);
         self.act(cx, id, actions);
     }
 
-    /// Goes on with a request that waits for its turn, once that has come.
+    /// Places a request that waits for its turn, once its turn has come or the peer's answer is
+    /// overdue.
     pub(crate) fn check_turn(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
         let Some(open) = self.open.get(&id) else { return };
         let due = match &open.slot {
-            Some(PendingTurn::Granted(it)) => it.at,
+            Some(PendingTurn::Granted(turn)) => turn.at,
             Some(PendingTurn::Requested { until, .. }) => *until,
             None => return,
         };
@@ -230,45 +249,49 @@
         }
     }
 
-    /// Answers another entry that asks for a turn.
-    pub(crate) fn answer_turn_request(&mut self, peer: PeerKey, it: &wire::TurnAsk) {
-        let Ok(it) = turns::parse_ask(it) else {
+    /// Answers a peer's request for a turn in this entry's share of a limit.
+    pub(crate) fn answer_turn_request(&mut self, peer: PeerKey, message: &wire::TurnAsk) {
+        let Ok(ask) = turns::parse_ask(message) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
-        let turn = self.targets.reserve(clock::now(), it.target, it.most);
+        let turn = self.targets.reserve(clock::now(), ask.target, ask.most);
         let outcome = if matches!(turn, Turn::In(_)) { "granted" } else { "denied" };
         self.metrics.turns.with_label_values(&[outcome]).inc();
-        call!([self.mesh], send(peer, turns::answer(Answer { request: it.request, turn })));
+        call!([self.mesh], send(peer, turns::answer(Answer { request: ask.request, turn })));
     }
 
-    /// Takes another entry's answer.
-    pub(crate) fn receive_turn_answer(&mut self, cx: CX![], it: &wire::TurnAnswer) {
-        let Ok(it) = turns::parse_answer(it) else {
+    /// Processes a peer's answer to a request for a turn.
+    pub(crate) fn receive_turn_answer(&mut self, cx: CX![], message: &wire::TurnAnswer) {
+        let Ok(answer) = turns::parse_answer(message) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
         let now = clock::now();
-        let open = self.open.get_mut(&it.request);
+        let open = self.open.get_mut(&answer.request);
         let slot =
             open.and_then(|it| it.slot.take_if(|it| matches!(it, PendingTurn::Requested { .. })));
         let Some(PendingTurn::Requested { target, peer, .. }) = slot else {
-            // It was not waited for so long.
+            // The answer came after its timeout, or for a request that has ended.
             self.metrics.ignored(Ignored::LateAnswer);
             return;
         };
-        match it.turn {
+        match answer.turn {
             Turn::In(wait) => {
                 self.metrics.turns.with_label_values(&["asked"]).inc();
-                let born = self.targets.started_at(&target);
-                self.schedule_turn(now, it.request, GrantedTurn { target, born, at: now + wait });
-                self.check_turn(cx, it.request);
+                let started_at = self.targets.started_at(&target);
+                self.schedule_turn(
+                    now,
+                    answer.request,
+                    GrantedTurn { target, started_at, at: now + wait },
+                );
+                self.check_turn(cx, answer.request);
             }
             Turn::TooLate(wait) => {
-                self.turns.heard(now, &target, peer, wait);
-                self.place(cx, it.request);
+                self.turns.record(now, &target, peer, wait);
+                self.place(cx, answer.request);
             }
-            Turn::Never => self.place(cx, it.request),
+            Turn::Never => self.place(cx, answer.request),
         }
     }
 }
