--- a/crates/sablepass-entry/src/peers.rs
+++ b/crates/sablepass-entry/src/peers.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router towards other processes: agents, entries, and what they spread.
+//! Connections to agents and other entries, as part of the router: processes events of the mesh,
+//! new declarations and instance lists, and the messages of agents and entries.
 
 use std::time::Duration;
 
@@ -22,23 +23,23 @@
 use crate::targets::listing::Changes;
 
 impl Router {
-    /// Takes an event of the mesh.
+    /// Processes an event of the mesh.
     pub fn mesh_event(&mut self, cx: CX![], event: mesh::Event) {
         match event {
-            mesh::Event::Up(peer, it) => self.up(cx, peer, &it),
-            mesh::Event::Down(peer) => self.down(cx, peer),
+            mesh::Event::Up(peer, introduction) => self.peer_connected(cx, peer, &introduction),
+            mesh::Event::Down(peer) => self.peer_disconnected(cx, peer),
             mesh::Event::Message(peer, body) => self.message(cx, peer, body),
             mesh::Event::Config(catalogue) => {
-                if let Some(it) = catalogue.limits {
-                    call!([self.server], limit(limits(it)));
+                if let Some(declared) = catalogue.limits {
+                    call!([self.server], limit(server_limits(declared)));
                 }
                 self.targets.set_catalogue(catalogue);
                 self.update_wanted_peers(cx);
                 self.send_bounds();
             }
-            mesh::Event::Instances(it) => {
-                let changes = self.targets.apply_list(clock::now(), &it);
-                self.log_list_changes(&changes, it.revision);
+            mesh::Event::Instances(list) => {
+                let changes = self.targets.apply_list(clock::now(), &list);
+                self.log_list_changes(&changes, list.revision);
                 if changes.restored {
                     self.resend_notices();
                 }
@@ -56,20 +57,21 @@
         }
     }
 
-    /// A line for each target that a new list speaks of in another way than the one before.
+    /// Logs one line for each target whose state the new instance list changes.
     fn log_list_changes(&self, changes: &Changes, revision: Revision) {
         let now = clock::now();
-        let said = [
+        let events = [
             ("target listed", &changes.added),
-            ("target missing", &changes.missing),
-            ("target started anew", &changes.restarted),
+            ("target no longer listed", &changes.missing),
+            ("target restarted", &changes.restarted),
         ];
-        for (text, targets) in said {
+        for (event, targets) in events {
             for target in targets {
                 let line = self.targets.line_revision(target);
-                slog::info!(self.log, "{}", text; "target" => target, "line" => line.number,
+                slog::info!(self.log, "{}", event; "target" => target, "line" => line.number,
                     "born" => self.targets.started_at(target), "era" => revision.era,
-                    "revision" => revision.number, "used_for" => self.targets.remaining_use(now, target));
+                    "revision" => revision.number,
+                    "used_for" => self.targets.remaining_use(now, target));
             }
         }
         for target in &changes.leaving {
@@ -79,65 +81,76 @@
                 "era" => revision.era, "revision" => revision.number);
         }
         for target in &changes.pauses_ended {
-            slog::info!(self.log, "rest ends"; "target" => target, "why" => "new life");
+            slog::info!(self.log, "target pause ended"; "target" => target, "why" => "restarted");
         }
     }
 
-    /// Counts the entries anew, and shares the retries among as many.
+    /// Updates the number of entries, and this entry's share of the retry budgets with it.
     pub(crate) fn count_entries(&mut self) {
         self.targets.count_entries(clock::now());
         let burst = self.settings.budget(self.targets.sharers()).burst;
         self.budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
+    /// Closes the idle connections to targets that were removed from the instance list, and
+    /// records the end of these targets.
     pub(crate) fn remove_targets(&mut self, cx: CX![], targets: &[String]) {
         for target in targets {
-            slog::info!(self.log, "target gone"; "target" => target);
+            slog::info!(self.log, "target removed"; "target" => target);
             self.pool.leave(target);
             self.target_gone(cx, target);
         }
     }
 
+    /// Sends the mesh the processes to connect to.
     pub(crate) fn update_wanted_peers(&mut self, _cx: CX![]) {
         let wanted = self.targets.wanted_peers(clock::now());
         call!([self.mesh], want(wanted));
     }
 
-    fn up(&mut self, cx: CX![], peer: PeerKey, it: &Introduction) {
-        if it.role == Role::Entry.name() {
-            let told = self.watch.peer_connected(peer, &it.name);
-            told.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
+    /// Sends a newly connected entry the known suspects and notices. Records a newly connected
+    /// agent, and sends it the blocked requests.
+    fn peer_connected(&mut self, cx: CX![], peer: PeerKey, introduction: &Introduction) {
+        if introduction.role == Role::Entry.name() {
+            let deaths = self.watch.peer_connected(peer, &introduction.name);
+            deaths.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
             self.send_all_notices(peer);
             return;
         }
-        let Some(endpoint) = it.dialled.as_ref() else {
+        let Some(endpoint) = introduction.dialled.as_ref() else {
             return;
         };
-        let held = self.watch.blocked_message(clock::now());
-        held.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
+        let blocked = self.watch.blocked_message(clock::now());
+        blocked.into_iter().for_each(|it| call!([self.mesh], send(peer, it.body())));
         if self.targets.listed_agent_connected(peer, endpoint) {
             self.bounds().into_iter().for_each(|it| call!([self.mesh], send(peer, it)));
             return;
         }
-        self.targets.agent_connected(clock::now(), peer, &it.name, it.incarnation);
-        slog::info!(self.log, "target up"; "target" => &it.name);
-        for id in self.requests_at(&it.name) {
-            self.event(cx, id, 0, Event::LinkUp(it.incarnation));
+        self.targets.agent_connected(
+            clock::now(),
+            peer,
+            &introduction.name,
+            introduction.incarnation,
+        );
+        slog::info!(self.log, "target agent connected"; "target" => &introduction.name);
+        for id in self.requests_at(&introduction.name) {
+            self.event(cx, id, 0, Event::LinkUp(introduction.incarnation));
         }
     }
 
-    /// What the agents beside listed targets need of the configuration.
+    /// The messages that announce the declared bounds of expert maps to the agents of listed
+    /// targets, one for each service with such bounds.
     fn bounds(&self) -> Vec<Body> {
         let catalogue = self.targets.catalogue();
         let ranks = |it: &Service| it.engine.as_ref()?.bounds();
-        let told = |(name, it): (&String, &Service)| {
+        let message = |(name, it): (&String, &Service)| {
             Some(convert::bounds(name, catalogue.revision, ranks(it)?))
         };
-        catalogue.services.iter().filter_map(told).collect()
+        catalogue.services.iter().filter_map(message).collect()
     }
 
-    /// Tells all of them. A line of some ten bytes for each service, however
-    /// large the configuration is.
+    /// Sends the bounds to the agents of all listed targets: some ten bytes for each service,
+    /// however large the configuration is.
     fn send_bounds(&self) {
         for body in self.bounds() {
             for peer in self.targets.listed_agents() {
@@ -146,20 +159,21 @@
         }
     }
 
-    fn down(&mut self, cx: CX![], peer: PeerKey) {
+    fn peer_disconnected(&mut self, cx: CX![], peer: PeerKey) {
         self.watch.peer_disconnected(peer);
         let Some(name) = self.targets.agent_disconnected(peer) else {
             return;
         };
-        slog::info!(self.log, "target down"; "target" => &name);
+        slog::info!(self.log, "target agent disconnected"; "target" => &name);
         for id in self.requests_at(&name) {
             self.event(cx, id, 0, Event::LinkDown);
         }
     }
 
+    /// Ids of the requests that are assigned to a target.
     fn requests_at(&self, target: &str) -> Vec<RequestId> {
-        let there = |it: &Open| it.flight.target() == Some(target);
-        self.open.iter().filter(|(_, it)| there(it)).map(|(id, _)| *id).collect()
+        let is_assigned = |it: &Open| it.flight.target() == Some(target);
+        self.open.iter().filter(|(_, it)| is_assigned(it)).map(|(id, _)| *id).collect()
     }
 
     fn message(&mut self, cx: CX![], peer: PeerKey, body: Body) {
@@ -181,15 +195,15 @@
         }
     }
 
-    /// Takes an agent's heartbeat.
-    fn report(&mut self, cx: CX![], peer: PeerKey, it: &wire::Report) {
+    /// Processes an agent's heartbeat.
+    fn report(&mut self, cx: CX![], peer: PeerKey, message: &wire::Report) {
         let now = clock::now();
-        let Ok(report) = convert::report(it) else {
+        let Ok(report) = convert::report(message) else {
             self.metrics.ignored(Ignored::BadFrame);
             return;
         };
-        if let Some(began) = self.targets.record_listed_heartbeat(now, peer, report) {
-            began.iter().for_each(|it| self.move_requests(cx, it));
+        if let Some(degraded) = self.targets.record_listed_heartbeat(now, peer, report) {
+            degraded.iter().for_each(|it| self.move_requests(cx, it));
             if report.refuses {
                 let refusing = self.targets.targets_of_agent(peer);
                 refusing.iter().for_each(|it| self.target_refuses(cx, it));
@@ -202,7 +216,7 @@
         };
         let known = self.targets.members().get(&name);
         if known.is_some_and(|known| known.leaving && !report.leaving) {
-            // Leaving is for good; what says otherwise was sent before.
+            // Leaving is final, so a heartbeat that contradicts it was sent earlier.
             self.metrics.ignored(Ignored::LateHeartbeat);
         }
         self.targets.record_heartbeat(now, &name, report);
@@ -212,11 +226,11 @@
         }
     }
 
-    /// Moves what runs at a target that crawls to others, as far as it can go
-    /// on there: while it runs, all ranks of the group are as slow.
+    /// Moves the requests of a severely degraded target to other targets, if those can take them
+    /// over: while they run there, all ranks of the group are as slow as this one.
     fn move_requests(&mut self, cx: CX![], target: &str) {
-        let there = |it: &&Open| it.flight.target() == Some(target);
-        let Some(served) = self.open.values().find(there).map(|it| it.served.clone()) else {
+        let is_assigned = |it: &&Open| it.flight.target() == Some(target);
+        let Some(served) = self.open.values().find(is_assigned).map(|it| it.served.clone()) else {
             return;
         };
         let ids = self.requests_at(target);
@@ -228,6 +242,7 @@
         }
     }
 
+    /// Processes an agent's message about an attempt.
     fn answer(&mut self, cx: CX![], from: &str, attempt: AttemptId, event: Event) {
         let open = self.open.get(&attempt.request);
         let expected = open.is_some_and(|it| it.flight.target() == Some(from));
@@ -237,10 +252,10 @@
         }
         match &event {
             Event::Refused(Refusal::Leaving) => self.targets.mark_leaving(from),
-            Event::Failed(it) if it.reason == Refusal::EngineAway => {
+            Event::Failed(failure) if failure.reason == Refusal::EngineAway => {
                 self.targets.refused_connection(from)
             }
-            Event::Failed(it) if it.reason == Refusal::EngineBroke => {
+            Event::Failed(failure) if failure.reason == Refusal::EngineBroke => {
                 self.attempt_interrupted(cx, attempt.request, from);
             }
             _ => {}
@@ -249,13 +264,13 @@
     }
 }
 
-/// The declared limits of callers' connections.
-fn limits(it: Limits) -> server::Limits {
+/// Converts the declared limits of callers' connections.
+fn server_limits(declared: Limits) -> server::Limits {
     server::Limits {
-        head: it.head,
-        body: it.body,
-        head_time: Duration::from_millis(it.head_time),
-        idle_time: Duration::from_millis(it.idle_time),
+        head: declared.head,
+        body: declared.body,
+        head_time: Duration::from_millis(declared.head_time),
+        idle_time: Duration::from_millis(declared.idle_time),
         ..server::Limits::default()
     }
 }
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -205,7 +205,7 @@
     let (mut site, leaving) = site_with_an_earlier_life();
     let copy = site.store.copy();
     site.list(&leaving, "ready");
-    let known = || site.entries[0].log().iter().any(|it| it["event"] == "target started anew");
+    let known = || site.entries[0].log().iter().any(|it| it["event"] == "target restarted");
     wait_for("its present life is known", known);
     tell(&site, 0, &leaving);
     let told = clock::now();
