--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router's streams that wait to begin: who waits, and when they go on.
+//! Streams that wait to start, as part of the router: defers or refuses streams for which a service
+//! has no capacity, and starts the waiting ones once it has.
 
 use sablepass_core::id::{Millis, RequestId};
 use sablepass_core::reason::Refusal;
@@ -13,8 +14,8 @@
 use crate::targets::Served;
 
 impl Router {
-    /// Lets a stream wait or refuses it, if passes would be too long with it or
-    /// its group is closed.
+    /// Defers or refuses a stream if passes would be too long with it, or its group is closed.
+    /// Returns false if the stream may be sent now.
     pub(crate) fn defer_start(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id) else { return true };
         let first = open.flight.attempt().number == 0;
@@ -23,44 +24,46 @@
         let (arrived, resumed) = (open.run.arrived, open.run.resumed);
         let left = open.flight.request().deadline.saturating_sub(arrived);
         let patience = starts::patience(route.objective, pause).min(left);
-        let ask = StartRequest { id, arrived, objective: route.objective, patience, resumed };
+        let request = StartRequest { id, arrived, objective: route.objective, patience, resumed };
         let served = open.served.clone();
         let mut room = self.targets.start_room(now, &served, pause as f64);
         if matches!(room, Room::Opens { .. } | Room::Closed) {
-            // A report may have come since the last tick.
+            // The state of groups is updated at each tick, and a report may have come since.
             self.targets.update_groups(now);
             room = self.targets.start_room(now, &served, pause as f64);
         }
-        let turn = self.starts.entry(served).or_default().request(now, &ask, room);
-        match turn {
+        let decision = self.starts.entry(served).or_default().request(now, &request, room);
+        match decision {
             StartDecision::Now => false,
-            StartDecision::Wait(turn) => {
+            StartDecision::Wait(wait) => {
                 let Some(open) = self.open.get(&id) else { return true };
-                slog::info!(self.log, "waits to begin"; "id" => &open.run.label, "turn" => turn,
-                    "room" => ?room, "resumed" => resumed);
+                slog::info!(self.log, "stream waits to start"; "id" => &open.run.label,
+                    "turn" => wait, "room" => ?room, "resumed" => resumed);
                 true
             }
-            StartDecision::Refuse(turn) => {
-                self.refuse_start(cx, id, turn, room);
+            StartDecision::Refuse(retry_after) => {
+                self.refuse_start(cx, id, retry_after, room);
                 true
             }
         }
     }
 
-    fn refuse_start(&mut self, cx: CX![], id: RequestId, wait: Option<Millis>, room: Room) {
+    /// Refuses a stream, with a retry delay in milliseconds if that is known.
+    fn refuse_start(&mut self, cx: CX![], id: RequestId, retry_after: Option<Millis>, room: Room) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        open.comeback = wait;
-        let open_now = matches!(room, Room::Open { .. } | Room::Free);
-        let reason = if open_now { Refusal::Crowded } else { Refusal::GroupClosed };
+        open.comeback = retry_after;
+        let is_ready = matches!(room, Room::Open { .. } | Room::Free);
+        let reason = if is_ready { Refusal::Crowded } else { Refusal::GroupClosed };
         let counts = self.targets.counts();
-        slog::info!(self.log, "no turn"; "id" => &open.run.label, "reason" => reason.label(),
-            "room" => ?room, "turn" => wait, "targets" => counts.listed, "usable" => counts.usable);
+        slog::info!(self.log, "stream refused"; "id" => &open.run.label, "reason" => reason.label(),
+            "room" => ?room, "turn" => retry_after, "targets" => counts.listed,
+            "usable" => counts.usable);
         let actions = open.flight.refuse(reason);
         self.act(cx, id, actions);
     }
 
-    /// Begins those streams that wait and for which there is room now, and
-    /// refuses those for which there will be none.
+    /// Starts the waiting streams for which there is capacity now, and refuses those that cannot
+    /// start before their callers give up.
     pub(crate) fn start_waiting(&mut self, cx: CX![]) {
         let services: Vec<Served> = self.starts.keys().cloned().collect();
         for served in services {
@@ -77,15 +80,15 @@
             let now = clock::now();
             if let Some(id) = starts.next(now, room) {
                 self.place(cx, id);
-            } else if let Some((id, turn)) = starts.give_up(now, room) {
-                self.refuse_start(cx, id, turn, room);
+            } else if let Some((id, retry_after)) = starts.give_up(now, room) {
+                self.refuse_start(cx, id, retry_after, room);
             } else {
                 return;
             }
         }
     }
 
-    /// The room for the stream of a service whose turn is next.
+    /// Capacity of a service for the waiting stream that starts next; none if no stream waits.
     fn room_for_next(&self, served: &Served) -> Option<Room> {
         let now = clock::now();
         let starts = self.starts.get(served)?;
