--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router by the clock: deadlines, silence, turns to begin, what is to be told.
+//! Periodic work of the router: deadlines, unresponsive agents and targets, waiting requests, and
+//! messages to other entries.
 
 use std::time::Duration;
 
@@ -12,14 +13,15 @@
 
 use crate::router::Router;
 
-/// Time between two looks at deadlines and silence.
+/// Interval of the router's periodic work.
 pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 impl Router {
     pub(crate) fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
-        if let Some(slept) = self.sleep.look(now) {
-            slog::warn!(self.log, "slept"; "for" => slept, "requests" => self.open.len());
+        if let Some(suspended_ms) = self.sleep.look(now) {
+            slog::warn!(self.log, "process was suspended"; "for" => suspended_ms,
+                "requests" => self.open.len());
             self.metrics.sleeps.inc();
             self.targets.resumed(now);
         }
@@ -30,7 +32,7 @@
         if self.targets.evaluation_due(now) {
             self.count_entries();
             for target in self.targets.update_unresponsive(now) {
-                slog::warn!(self.log, "target quiet"; "target" => target);
+                slog::warn!(self.log, "target unresponsive"; "target" => target);
             }
             self.apply_pending_limits(now);
             self.update_target_metrics();
@@ -49,16 +51,16 @@
     }
 
     fn update_target_metrics(&self) {
-        let it = self.targets.counts();
-        let counts = [
-            ("listed", it.listed),
-            ("agents", it.agents),
-            ("linked", it.linked),
-            ("usable", it.usable),
-            ("resting", it.paused),
-            ("limited", it.limited),
+        let counts = self.targets.counts();
+        let values = [
+            ("listed", counts.listed),
+            ("agents", counts.agents),
+            ("linked", counts.linked),
+            ("usable", counts.usable),
+            ("resting", counts.paused),
+            ("limited", counts.limited),
         ];
-        for (state, count) in counts {
+        for (state, count) in values {
             self.metrics.targets.with_label_values(&[state]).set(count as i64);
         }
     }
@@ -72,17 +74,17 @@
             return;
         }
         if open.waiting.is_some() {
-            // One that waits for its group has nowhere to go until that opens.
+            // A request that waits for its group has no target until the group is ready.
             let now = clock::now();
-            let waits = !open.begun && open.is_patient(now);
-            if !waits || !self.targets.opens_soon(now, &open.served) {
+            let waits_for_group = !open.begun && open.is_patient(now);
+            if !waits_for_group || !self.targets.opens_soon(now, &open.served) {
                 self.dispatch(cx, id);
             }
             return;
         }
         let now = clock::now();
-        let quiet = open.flight.target().is_some_and(|it| self.targets.is_unresponsive(it));
-        if quiet && open.flight.is_silent(now) {
+        let unresponsive = open.flight.target().is_some_and(|it| self.targets.is_unresponsive(it));
+        if unresponsive && open.flight.is_silent(now) {
             self.event(cx, id, 0, Event::TargetUnresponsive);
         }
         let Some(open) = self.open.get(&id) else {
