--- a/crates/sablepass-entry/src/stops.rs
+++ b/crates/sablepass-entry/src/stops.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The router at a signal: settings read again, and a stop that cuts no request.
+//! Signals to the router: a reload of the settings, and a graceful shutdown that interrupts no
+//! request.
 
 use std::time::Duration;
 
@@ -13,11 +14,11 @@
 use crate::router::Router;
 use crate::settings::Settings;
 
-/// How long a stopping entry stays after its last answer, so that it is read.
+/// Time from the last answer until a stopping process ends, so that the caller can read the answer.
 const LINGER: Duration = Duration::from_millis(200);
 
 impl Router {
-    /// Takes a signal.
+    /// Processes a signal.
     pub fn signal(&mut self, cx: CX![], signal: runtime::Signal) {
         match signal {
             runtime::Signal::Stop => self.stop(cx),
@@ -25,11 +26,11 @@
         }
     }
 
-    /// Takes the settings of routing and retries as the file has them now.
-    /// Addresses and names stay as they were when the process started.
+    /// Reads the settings file again and applies the settings of routing and retries. Names, HTTP
+    /// and readiness addresses and the dialect stay as they were when the process started.
     fn reload(&mut self) {
         let fresh: Settings = match settings::open(&self.file) {
-            Ok(it) => it,
+            Ok(settings) => settings,
             Err(e) => {
                 slog::warn!(self.log, "settings not reloaded"; "error" => %e);
                 return;
@@ -48,7 +49,7 @@
         self.budgets.values_mut().for_each(|it| it.set_burst(burst));
     }
 
-    /// Stops taking work; the process ends when its last answer is written.
+    /// Starts a graceful shutdown: the process ends after its last answer is written.
     fn stop(&mut self, cx: CX![]) {
         let now = clock::now();
         if self.stopping.is_none() {
@@ -59,10 +60,12 @@
         self.check_stop(cx, now);
     }
 
+    /// Ends the process if it is stopping, the time in which callers are still accepted is over,
+    /// and no request is in progress.
     pub(crate) fn check_stop(&mut self, cx: CX![], now: Millis) {
         let Some(since) = self.stopping else { return };
-        let waits = now < since + self.settings.stop_wait;
-        if self.ending || waits || !self.open.is_empty() {
+        let accepts_callers = now < since + self.settings.stop_wait;
+        if self.ending || accepts_callers || !self.open.is_empty() {
             return;
         }
         self.ending = true;
