--- a/crates/sablepass-entry/src/targets.rs
+++ b/crates/sablepass-entry/src/targets.rs
@@ -33,7 +33,8 @@
 /// Number of agents that store each record of a blocked request: two machines may be lost at once.
 const SUSPECT_REPLICAS: usize = 3;
 
-/// Key by which targets are looked up: their kind, and the qualified name of their model or service.
+/// Key by which targets are looked up: their kind, and the qualified name of their model or
+/// service.
 pub type Served = (Kind, String);
 
 mod groups;
