--- a/crates/sablepass-edge/src/reader.rs
+++ b/crates/sablepass-edge/src/reader.rs
@@ -55,11 +55,9 @@
         /// Revision number of the replica.
         after: u64,
     },
-    /// The service was restored from a backup, and has lost the changes after the revision of the
-    /// replica or a part of them.
-    #[snafu(display(
-        "service was restored from a backup: era {now} follows era {held} of the replica"
-    ))]
+    /// The service was restored from a backup. Changes after the revision of the replica are not
+    /// known there.
+    #[snafu(display("service was restored from a backup: era {now} follows era {held}"))]
     Restored {
         /// Era of the replica.
         held: u64,
--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -534,7 +534,7 @@
         let before = std::mem::replace(&mut self.source(kind).healthy, healthy);
         match (before, healthy) {
             (false, true) => {
-                slog::info!(self.log, "platform service available again"; "what" => ?kind)
+                slog::info!(self.log, "platform service available"; "what" => ?kind)
             }
             (true, false) => {
                 slog::warn!(self.log, "platform service unavailable"; "what" => ?kind, "why" => why)
