--- a/crates/sablepass-stand/src/bin/sablepass-soak.rs
+++ b/crates/sablepass-stand/src/bin/sablepass-soak.rs
@@ -61,16 +61,16 @@
             plan.len(),
             outcome.requests,
             outcome.answered,
-            outcome.breaches.len()
+            outcome.violations.len()
         );
         (requests, faults) = (requests + outcome.requests, faults + plan.len());
-        let Some(breach) = outcome.breaches.first() else { continue };
+        let Some(violation) = outcome.violations.first() else { continue };
         failed += 1;
         print(&plan);
-        outcome.breaches.iter().take(5).for_each(|it| println!("  broken: {it}"));
+        outcome.violations.iter().take(5).for_each(|it| println!("  broken: {it}"));
         if it.get_flag("shrink") {
-            println!("  fewest faults that break {:?}:", breach.promise);
-            print(&soak::shrink(&options, &plan, breach.promise));
+            println!("  fewest faults that break {:?}:", violation.guarantee);
+            print(&soak::shrink(&options, &plan, violation.guarantee));
         }
     }
     println!(
--- a/crates/sablepass-stand/src/soak.rs
+++ b/crates/sablepass-stand/src/soak.rs
@@ -19,7 +19,7 @@
 
 use crate::soak::callers::Callers;
 use crate::soak::fleet::Fleet;
-use crate::soak::judge::{Breach, Evidence};
+use crate::soak::judge::{Observations, Violation};
 use crate::soak::schedule::Planned;
 
 /// Time after the last fault in which everything has to be well again.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Promises that were broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Requests that callers sent.
     pub requests: usize,
     /// Those answered with success.
@@ -69,23 +69,23 @@
     unseen(&fleet);
     std::thread::sleep(QUIET);
     let samples = callers.end();
-    let evidence = Evidence::gather(&mut fleet, samples);
+    let observations = Observations::collect(&mut fleet, samples);
     Outcome {
-        breaches: judge::judge(&evidence),
-        requests: evidence.samples.len(),
-        answered: evidence.samples.iter().filter(|it| it.answer.status == 200).count(),
+        violations: judge::check(&observations),
+        requests: observations.samples.len(),
+        answered: observations.samples.iter().filter(|it| it.answer.status == 200).count(),
     }
 }
 
 /// Leaves out faults one by one for as long as the rest still breaks the same
 /// promise. Each try is run twice, since not every run of a schedule shows it.
-pub fn shrink(options: &Options, plan: &[Planned], promise: judge::Promise) -> Vec<Planned> {
+pub fn shrink(options: &Options, plan: &[Planned], guarantee: judge::Guarantee) -> Vec<Planned> {
     let mut left = plan.to_vec();
     let mut at = 0;
     while at < left.len() {
         let mut fewer = left.clone();
         fewer.remove(at);
-        let breaks = |_| run(options, &fewer).breaches.iter().any(|it| it.promise == promise);
+        let breaks = |_| run(options, &fewer).violations.iter().any(|it| it.guarantee == guarantee);
         if (0..2).any(breaks) {
             left = fewer;
         } else {
--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -34,49 +34,49 @@
 
 /// A promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Guarantee {
     /// A request that must not repeat runs at most once.
-    Once,
+    AtMostOnce,
     /// What was told not to have run has not and does not.
     NotRun,
     /// An answer is whole and the caller's own.
-    Own,
+    AnswerIntegrity,
     /// No new work reaches a replica that leaves.
-    Leaving,
+    Drain,
     /// What a target ran is answered where nothing struck its way.
     Answered,
     /// A configuration is in force in its time, and never goes back.
-    InForce,
+    Configuration,
     /// Retries of all entries stay within the common budget.
-    Budget,
+    RetryBudget,
     /// Nothing is held past its time.
-    Held,
+    Timeout,
     /// All ranks use one map in every step, and the group goes on.
     OneMap,
     /// An entry that is asked to stop ends.
-    Stops,
+    Shutdown,
     /// A request that ends its targets is not sent on and on.
-    Fatal,
+    FatalRequest,
     /// A target is left alone for as long as it asks an entry.
-    Rest,
+    Backoff,
     /// A target that told an entry that it leaves gets nothing more from it.
-    Told,
+    LeaveNotice,
     /// A target gets no more than it takes from all entries together.
     Limit,
 }
 
 /// A promise that was broken, and by what.
 #[derive(Clone, Debug)]
-pub struct Breach {
+pub struct Violation {
     /// Which one.
-    pub promise: Promise,
+    pub guarantee: Guarantee,
     /// What was seen.
     pub seen: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.promise, self.seen)
+        write!(f, "{:?}: {}", self.guarantee, self.seen)
     }
 }
 
@@ -89,7 +89,7 @@
 
 /// All that a run showed.
 #[derive(Debug)]
-pub struct Evidence {
+pub struct Observations {
     /// What callers saw.
     pub samples: Vec<Sample>,
     runs: HashMap<String, Vec<Begun>>,
@@ -108,9 +108,9 @@
     notices: Vec<Vec<(String, u64)>>,
 }
 
-impl Evidence {
+impl Observations {
     /// Collects it from a fleet in which nothing is struck any more.
-    pub fn gather(fleet: &mut Fleet, samples: Vec<Sample>) -> Self {
+    pub fn collect(fleet: &mut Fleet, samples: Vec<Sample>) -> Self {
         let before = fleet.group.progress().0;
         std::thread::sleep(STEPS);
         let mut runs: HashMap<String, Vec<Begun>> = HashMap::new();
@@ -153,69 +153,69 @@
 }
 
 /// All promises that were broken.
-pub fn judge(it: &Evidence) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+pub fn check(it: &Observations) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for sample in &it.samples {
-        breaches.extend(judge_one(it, sample));
+        violations.extend(check_sample(it, sample));
     }
-    breaches.extend(in_force(it));
-    breaches.extend(budget(it));
+    violations.extend(in_force(it));
+    violations.extend(budget(it));
     let sent = it.samples.iter().map(|it| (it.id.as_str(), it)).collect();
-    breaches.extend((0..it.arrivals.len()).filter_map(|replica| rest(it, &sent, replica)));
-    breaches.extend((0..it.notices.len()).filter_map(|replica| told(it, &sent, replica)));
-    breaches.extend((0..it.arrivals.len()).filter_map(|replica| limit(it, &sent, replica)));
+    violations.extend((0..it.arrivals.len()).filter_map(|replica| rest(it, &sent, replica)));
+    violations.extend((0..it.notices.len()).filter_map(|replica| told(it, &sent, replica)));
+    violations.extend((0..it.arrivals.len()).filter_map(|replica| limit(it, &sent, replica)));
     if !it.broken.is_empty() {
         let seen = format!("steps {:?} began on two maps", it.broken);
-        breaches.push(Breach { promise: Promise::OneMap, seen });
+        violations.push(Violation { guarantee: Guarantee::OneMap, seen });
     }
     if it.stands {
         let seen = "the group makes no steps at the end".to_owned();
-        breaches.push(Breach { promise: Promise::OneMap, seen });
+        violations.push(Violation { guarantee: Guarantee::OneMap, seen });
     }
     if it.fatal > FATAL_RUNS {
         let seen = format!("a request ended {} targets", it.fatal);
-        breaches.push(Breach { promise: Promise::Fatal, seen });
+        violations.push(Violation { guarantee: Guarantee::FatalRequest, seen });
     }
     if !it.stuck.is_empty() {
         let seen = format!("entries {:?} did not end", it.stuck);
-        breaches.push(Breach { promise: Promise::Stops, seen });
+        violations.push(Violation { guarantee: Guarantee::Shutdown, seen });
     }
-    breaches
+    violations
 }
 
-fn judge_one(it: &Evidence, sample: &Sample) -> Option<Breach> {
+fn check_sample(it: &Observations, sample: &Sample) -> Option<Violation> {
     let runs = it.runs(&sample.id);
-    let breach = |promise, what: &str| {
+    let violation = |guarantee, what: &str| {
         let Sample { id, kind, entry, sent, ended, answer } = sample;
         let took = ended - sent;
         let seen =
             format!("{what}: {id} {kind:?} at entry {entry}, {took} ms, {runs:?}, {answer:?}");
-        Some(Breach { promise, seen })
+        Some(Violation { guarantee, seen })
     };
     let status = sample.answer.status;
     if sample.kind == Kind::Once && runs.len() > 1 {
-        return breach(Promise::Once, "ran more than once");
+        return violation(Guarantee::AtMostOnce, "ran more than once");
     }
     if matches!(status, 408 | 421 | 429 | 503) && !runs.is_empty() && sample.kind == Kind::Once {
-        return breach(Promise::NotRun, "told not to have run");
+        return violation(Guarantee::NotRun, "told not to have run");
     }
     if status == 200 && sample.answer.body != expected(sample) {
-        return breach(Promise::Own, "not the whole answer");
+        return violation(Guarantee::AnswerIntegrity, "not the whole answer");
     }
     if status == 200 && sample.answer.id != sample.id {
-        return breach(Promise::Own, "another request's answer");
+        return violation(Guarantee::AnswerIntegrity, "another request's answer");
     }
     if let Some(run) = runs.iter().find(|run| came_late(it, sample, run)) {
-        return breach(Promise::Leaving, &format!("sent to leaving replica {}", run.replica));
+        return violation(Guarantee::Drain, &format!("sent to leaving replica {}", run.replica));
     }
     let (from, until) = (sample.sent.saturating_sub(AFTER), sample.ended);
     let entry = it.struck(Struck::Entry(sample.entry), from, until);
     let way = runs.iter().any(|run| it.struck(Struck::Replica(run.replica), from, until));
     if status == 0 && !runs.is_empty() && !entry && !way {
-        return breach(Promise::Answered, "ran and was not answered");
+        return violation(Guarantee::Answered, "ran and was not answered");
     }
     if sample.ended - sample.sent > HELD && !entry {
-        return breach(Promise::Held, "held past its time");
+        return violation(Guarantee::Timeout, "held past its time");
     }
     None
 }
@@ -230,7 +230,7 @@
 
 /// Whether a run began at a replica that had long said to be leaving, sent by an
 /// entry that could know. What it knew once it does not forget, whatever the store says.
-fn came_late(it: &Evidence, sample: &Sample, run: &Begun) -> bool {
+fn came_late(it: &Observations, sample: &Sample, run: &Begun) -> bool {
     let leaving = it.leaving.iter().find(|left| left.0 == run.replica);
     leaving.is_some_and(|&(_, since)| {
         let known = run.at.saturating_sub(IN_FORCE);
@@ -248,8 +248,8 @@
 }
 
 /// Added routes are served where they are in force, and stay so at an entry.
-fn in_force(it: &Evidence) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+fn in_force(it: &Observations) -> Vec<Violation> {
+    let mut violations = Vec::new();
     // By entry and route: when it was first seen to be served there.
     let mut seen: HashMap<(usize, u64), u64> = HashMap::new();
     let mut samples: Vec<&Sample> = it.samples.iter().collect();
@@ -274,17 +274,17 @@
                 "route {route} unknown to entry {} after {after} ms, back {back}: {}",
                 sample.entry, sample.id
             );
-            breaches.push(Breach { promise: Promise::InForce, seen });
+            violations.push(Violation { guarantee: Guarantee::Configuration, seen });
         }
     }
-    breaches
+    violations
 }
 
 /// Samples by their name.
 type Sent<'a> = HashMap<&'a str, &'a Sample>;
 
 /// What a replica asked of each entry that was not struck, nor the way between them.
-fn rest(it: &Evidence, sent: &Sent<'_>, replica: usize) -> Option<Breach> {
+fn rest(it: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
     let mut from: HashMap<usize, Vec<Arrival>> = HashMap::new();
     for arrival in &it.arrivals[replica] {
         // Those of the request that ends targets have no sample.
@@ -298,12 +298,12 @@
     }
     let worst = from.iter().map(|(entry, all)| (most_in_rest(all, AFTER), *entry)).max()?;
     let seen = format!("{} from entry {} to resting replica {replica}", worst.0, worst.1);
-    (worst.0 > MOST_IN_REST).then_some(Breach { promise: Promise::Rest, seen })
+    (worst.0 > MOST_IN_REST).then_some(Violation { guarantee: Guarantee::Backoff, seen })
 }
 
 /// Whether a replica got more than it takes, from entries that were not struck and that it
 /// had told.
-fn limit(it: &Evidence, sent: &Sent<'_>, replica: usize) -> Option<Breach> {
+fn limit(it: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
     let mut told: HashMap<usize, u64> = HashMap::new();
     let mut counted = Vec::new();
     for arrival in &it.arrivals[replica] {
@@ -325,12 +325,12 @@
         let most = counted.iter().filter(same).count();
         let seen = format!("{most} in a span to replica {replica}, that takes {limit} a second");
         let broken = most as f64 > limits::allowed(limit);
-        broken.then_some(Breach { promise: Promise::Limit, seen })
+        broken.then_some(Violation { guarantee: Guarantee::Limit, seen })
     })
 }
 
 /// Whether an entry that a replica had told of its leaving sent it more.
-fn told(it: &Evidence, sent: &Sent<'_>, replica: usize) -> Option<Breach> {
+fn told(it: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
     let mut known: HashMap<usize, u64> = HashMap::new();
     for (id, at) in &it.notices[replica] {
         let Some(sample) = sent.get(id.as_str()) else { continue };
@@ -346,14 +346,14 @@
     });
     late.map(|arrival| {
         let seen = format!("{} sent to replica {replica}, which had said it leaves", arrival.id);
-        Breach { promise: Promise::Told, seen }
+        Violation { guarantee: Guarantee::LeaveNotice, seen }
     })
 }
 
 /// A run lasts less than a window of the budget, so that all of it is one.
-fn budget(it: &Evidence) -> Option<Breach> {
+fn budget(it: &Observations) -> Option<Violation> {
     let runs: usize = it.runs.values().map(|it| it.len() - 1).sum();
     let most = it.samples.len() as f64 * RETRY_RATIO + RETRY_SLACK;
     let seen = format!("{runs} runs beyond the first of each, {most:.0} are allowed");
-    (runs as f64 > most).then_some(Breach { promise: Promise::Budget, seen })
+    (runs as f64 > most).then_some(Violation { guarantee: Guarantee::RetryBudget, seen })
 }
--- a/crates/sablepass-stand/tests/soak.rs
+++ b/crates/sablepass-stand/tests/soak.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use sablepass_stand::soak::judge::Promise;
+use sablepass_stand::soak::judge::Guarantee;
 use sablepass_stand::soak::schedule::{self, Fault, Planned};
 use sablepass_stand::soak::{self, Options};
 
@@ -21,7 +21,7 @@
         let plan = schedule::draw(seed, options.length);
         let outcome = soak::run(&options, &plan);
         let told: Vec<String> = plan.iter().map(Planned::to_string).collect();
-        assert!(outcome.breaches.is_empty(), "seed {seed}: {told:#?}\n{:#?}", outcome.breaches);
+        assert!(outcome.violations.is_empty(), "seed {seed}: {told:#?}\n{:#?}", outcome.violations);
         assert!(outcome.answered > 0, "seed {seed} served nothing");
     }
 }
@@ -45,6 +45,7 @@
 fn verify_the_judge_finds_what_is_held_too_long() {
     let options = Options { entries: 1, replicas: 2, callers: 2, length: 100 };
     let pause = Duration::from_millis(5_500);
-    let breaches = soak::run_beside(&options, &[], |fleet| fleet.pause_unseen(0, pause)).breaches;
-    assert!(breaches.iter().any(|it| it.promise == Promise::Held), "{breaches:?}");
+    let violations =
+        soak::run_beside(&options, &[], |fleet| fleet.pause_unseen(0, pause)).violations;
+    assert!(violations.iter().any(|it| it.guarantee == Guarantee::Timeout), "{violations:?}");
 }
