--- a/crates/sablepass-stand/src/bin/sablepass-soak.rs
+++ b/crates/sablepass-stand/src/bin/sablepass-soak.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use sablepass_stand::soak::schedule::{self, Planned};
+use sablepass_stand::soak::schedule::{self, PlannedFault};
 use sablepass_stand::soak::{self, Options};
 
 fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
@@ -42,7 +42,7 @@
     }
 }
 
-fn print(plan: &[Planned]) {
+fn print(plan: &[PlannedFault]) {
     plan.iter().for_each(|it| println!("  {it}"));
 }
 
--- a/crates/sablepass-stand/src/soak.rs
+++ b/crates/sablepass-stand/src/soak.rs
@@ -20,7 +20,7 @@
 use crate::soak::callers::Callers;
 use crate::soak::fleet::Fleet;
 use crate::soak::judge::{Observations, Violation};
-use crate::soak::schedule::Planned;
+use crate::soak::schedule::PlannedFault;
 
 /// Time after the last fault in which everything has to be well again.
 const QUIET: Duration = Duration::from_millis(3_000);
@@ -57,12 +57,16 @@
 }
 
 /// Runs a schedule.
-pub fn run(options: &Options, plan: &[Planned]) -> Outcome {
+pub fn run(options: &Options, plan: &[PlannedFault]) -> Outcome {
     run_beside(options, plan, |_| {})
 }
 
 /// The same with something after it that the judge is not told of.
-pub fn run_beside(options: &Options, plan: &[Planned], unseen: impl FnOnce(&Fleet)) -> Outcome {
+pub fn run_beside(
+    options: &Options,
+    plan: &[PlannedFault],
+    unseen: impl FnOnce(&Fleet),
+) -> Outcome {
     let mut fleet = Fleet::open(options);
     let callers = Callers::spawn(options.callers, fleet.board());
     fleet.play(plan);
@@ -79,7 +83,11 @@
 
 /// Leaves out faults one by one for as long as the rest still breaks the same
 /// promise. Each try is run twice, since not every run of a schedule shows it.
-pub fn shrink(options: &Options, plan: &[Planned], guarantee: judge::Guarantee) -> Vec<Planned> {
+pub fn shrink(
+    options: &Options,
+    plan: &[PlannedFault],
+    guarantee: judge::Guarantee,
+) -> Vec<PlannedFault> {
     let mut left = plan.to_vec();
     let mut at = 0;
     while at < left.len() {
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -21,7 +21,7 @@
 use crate::site::{self, Site};
 use crate::soak::Options;
 use crate::soak::callers::Board;
-use crate::soak::schedule::{Fault, Planned};
+use crate::soak::schedule::{Fault, PlannedFault};
 use crate::{keys, soak};
 
 /// Ranks of the group whose maps change meanwhile, and experts of a layer there.
@@ -252,13 +252,13 @@
     }
 
     /// Plays a schedule to its end.
-    pub fn play(&mut self, plan: &[Planned]) {
+    pub fn play(&mut self, plan: &[PlannedFault]) {
         let started = Instant::now();
         // Numbers stay fixed from a fault's beginning to its end.
         let mut turns: Vec<(u64, bool, usize)> = Vec::new();
         for (number, it) in plan.iter().enumerate() {
             turns.push((it.at, true, number));
-            turns.push((it.at + it.lasts, false, number));
+            turns.push((it.at + it.duration_ms, false, number));
         }
         turns.sort_unstable();
         let mut struck: Vec<Option<usize>> = vec![None; plan.len()];
@@ -275,7 +275,7 @@
     }
 
     /// Begins a fault. The number of what it strikes; none if there is nothing.
-    fn begin(&mut self, it: &Planned) -> Option<usize> {
+    fn begin(&mut self, it: &PlannedFault) -> Option<usize> {
         let of = |list: &[usize]| list.get(it.who % list.len().max(1)).copied();
         let entry = of(&self.alive);
         let replica = of(&self.ready);
@@ -311,11 +311,11 @@
                 self.agents[rank].pause();
                 Some(rank)
             }
-            Fault::RankDeaf => {
+            Fault::RankUnresponsive => {
                 self.group.deafen(Some(rank));
                 Some(rank)
             }
-            Fault::ReplicaIs(mode) => {
+            Fault::ReplicaMode(mode) => {
                 self.strike(Struck::Replica(replica?), it);
                 self.site.replicas[replica?].set(mode);
                 replica
@@ -336,13 +336,13 @@
                 self.site.replicas[replica?].name_limit(Some(f64::from(limit) / TEN_SECONDS));
                 replica
             }
-            Fault::ReplicaTells => {
+            Fault::ReplicaAnnouncesLeave => {
                 let who = replica.filter(|_| self.ready.len() > LEAST)?;
                 self.site.replicas[who].leave();
                 self.ready.retain(|it| *it != who);
                 Some(who)
             }
-            Fault::ReplicaVanishes => {
+            Fault::ReplicaUnlisted => {
                 let who = replica.filter(|_| self.ready.len() > LEAST)?;
                 self.ready.retain(|it| *it != who);
                 self.site.store.remove(&format!("servers/{}", self.site.replicas[who].id));
@@ -353,18 +353,18 @@
                 self.add_replica();
                 None
             }
-            Fault::ReplicaReborn => {
+            Fault::ReplicaRestarted => {
                 self.site.replicas[replica.filter(|_| self.ready.len() > LEAST)?].end();
                 replica
             }
-            Fault::EntryGarbled => {
+            Fault::ListItemCorrupted => {
                 let who = replica.filter(|_| self.ready.len() > LEAST)?;
                 let key = format!("servers/{}", self.site.replicas[who].id);
                 self.site.store.put_raw(&key, "no base64 !");
                 Some(who)
             }
             Fault::FatalRequest => {
-                self.send_fatal(Duration::from_millis(it.lasts));
+                self.send_fatal(Duration::from_millis(it.duration_ms));
                 Some(0)
             }
             Fault::Link(link) => {
@@ -372,12 +372,12 @@
                 self.link(replica?, link.command());
                 replica
             }
-            Fault::StoreIs(mode) => {
+            Fault::StoreMode(mode) => {
                 self.strike(Struck::Store, it);
                 self.site.store.set(mode);
                 Some(0)
             }
-            Fault::StoreForgets => {
+            Fault::StoreHistoryLost => {
                 self.strike(Struck::Store, it);
                 self.site.store.forget();
                 None
@@ -387,7 +387,10 @@
                 self.add_route();
                 std::thread::sleep(KNOWN);
                 let writes = WRITTEN_AGAIN.as_millis() as u64;
-                self.strike(Struck::Store, &Planned { lasts: it.lasts + writes, ..*it });
+                self.strike(
+                    Struck::Store,
+                    &PlannedFault { duration_ms: it.duration_ms + writes, ..*it },
+                );
                 self.site.store.set(keys::Mode::Down);
                 Some(0)
             }
@@ -398,7 +401,7 @@
         }
     }
 
-    fn end(&mut self, it: &Planned, who: usize) {
+    fn end(&mut self, it: &PlannedFault, who: usize) {
         match it.fault {
             Fault::EntryKilled => self.add_entry(),
             Fault::EntryPaused => self.site.entries[who].wake(),
@@ -412,30 +415,30 @@
                 self.agents[who] = self.start_agent(who);
             }
             Fault::AgentPaused => self.agents[who].wake(),
-            Fault::RankDeaf => self.group.deafen(None),
-            Fault::ReplicaIs(_) | Fault::ReplicaSheds(_) => {
+            Fault::RankUnresponsive => self.group.deafen(None),
+            Fault::ReplicaMode(_) | Fault::ReplicaSheds(_) => {
                 self.site.replicas[who].set(replica::Mode::Good)
             }
             Fault::ReplicaLimits(_) => self.site.replicas[who].name_limit(None),
-            Fault::ReplicaLeaves | Fault::ReplicaTells => {
+            Fault::ReplicaLeaves | Fault::ReplicaAnnouncesLeave => {
                 self.draining.retain(|it| *it != who);
                 let id = self.site.replicas[who].id.clone();
                 self.site.store.remove(&format!("servers/{id}"));
             }
-            Fault::ReplicaReborn | Fault::FatalRequest => self.restart_replicas(),
-            Fault::EntryGarbled => {
+            Fault::ReplicaRestarted | Fault::FatalRequest => self.restart_replicas(),
+            Fault::ListItemCorrupted => {
                 // It may have ended or left meanwhile.
                 if self.ready.contains(&who) {
                     self.site.list(&self.site.replicas[who], "ready");
                 }
             }
             Fault::Link(_) => self.link(who, "pass"),
-            Fault::StoreIs(_) => self.site.store.set(keys::Mode::Up),
+            Fault::StoreMode(_) => self.site.store.set(keys::Mode::Up),
             Fault::StoreRestored => self.restore(),
             Fault::EntryReloaded
             | Fault::ReplicaAdded
-            | Fault::ReplicaVanishes
-            | Fault::StoreForgets
+            | Fault::ReplicaUnlisted
+            | Fault::StoreHistoryLost
             | Fault::RouteAdded => {}
         }
     }
@@ -492,9 +495,9 @@
         client::control(&self.proxies[who].addr("control"), "POST", "/control", command);
     }
 
-    fn strike(&mut self, what: Struck, it: &Planned) {
+    fn strike(&mut self, what: Struck, it: &PlannedFault) {
         let from = clock::now();
-        self.strikes.push(Strike { what, from, until: from + it.lasts + soak::judge::AFTER });
+        self.strikes.push(Strike { what, from, until: from + it.duration_ms + soak::judge::AFTER });
     }
 }
 
--- a/crates/sablepass-stand/src/soak/schedule.rs
+++ b/crates/sablepass-stand/src/soak/schedule.rs
@@ -26,9 +26,9 @@
     /// An agent is paused for this long.
     AgentPaused,
     /// A rank leaves orders unanswered.
-    RankDeaf,
+    RankUnresponsive,
     /// A replica misbehaves so.
-    ReplicaIs(replica::Mode),
+    ReplicaMode(replica::Mode),
     /// A replica says that it is leaving, and goes for good after this.
     ReplicaLeaves,
     /// A replica turns all away and asks for a rest of so many milliseconds.
@@ -37,23 +37,23 @@
     ReplicaLimits(u32),
     /// A replica says in its answers that it leaves while it is listed as ready, and goes for
     /// good after this.
-    ReplicaTells,
+    ReplicaAnnouncesLeave,
     /// A replica's line is removed, and it serves on.
-    ReplicaVanishes,
+    ReplicaUnlisted,
     /// Another replica is listed.
     ReplicaAdded,
     /// A replica's process ends, and starts again under its id after this.
-    ReplicaReborn,
+    ReplicaRestarted,
     /// A replica's entry of the list cannot be read.
-    EntryGarbled,
+    ListItemCorrupted,
     /// A caller repeats a request that ends each replica that begins to run it.
     FatalRequest,
     /// The link to a replica is as the proxy's command says.
     Link(Link),
     /// The store misbehaves so.
-    StoreIs(keys::Mode),
+    StoreMode(keys::Mode),
     /// The store forgets its history.
-    StoreForgets,
+    StoreHistoryLost,
     /// The store is away, and comes back from a copy after this; operators and replicas write
     /// again what it lost.
     StoreRestored,
@@ -91,26 +91,26 @@
 
 /// A fault with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// Milliseconds from the start.
     pub at: u64,
     /// Milliseconds that it lasts.
-    pub lasts: u64,
+    pub duration_ms: u64,
     /// Which of those that it may strike, by their number now.
     pub who: usize,
     /// What happens.
     pub fault: Fault,
 }
 
-impl Planned {
+impl PlannedFault {
     fn with(self, fault: Fault) -> Self {
         Self { fault, ..self }
     }
 }
 
-impl fmt::Display for Planned {
+impl fmt::Display for PlannedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:5} ms, for {:4}: {:?} of {}", self.at, self.lasts, self.fault, self.who)
+        write!(f, "{:5} ms, for {:4}: {:?} of {}", self.at, self.duration_ms, self.fault, self.who)
     }
 }
 
@@ -137,13 +137,13 @@
         5 => Fault::EntryReloaded,
         6 => Fault::AgentKilled,
         7 | 18 => Fault::AgentPaused,
-        8 => Fault::RankDeaf,
-        9 | 10 => Fault::ReplicaIs(MODES[rng.random_range(0..MODES.len())]),
+        8 => Fault::RankUnresponsive,
+        9 | 10 => Fault::ReplicaMode(MODES[rng.random_range(0..MODES.len())]),
         11 => Fault::ReplicaLeaves,
         12 => Fault::ReplicaAdded,
         13 | 14 => Fault::Link(LINKS[rng.random_range(0..LINKS.len())]),
-        15 => Fault::StoreIs(STORES[rng.random_range(0..STORES.len())]),
-        16 => Fault::StoreForgets,
+        15 => Fault::StoreMode(STORES[rng.random_range(0..STORES.len())]),
+        16 => Fault::StoreHistoryLost,
         _ => Fault::RouteAdded,
     }
 }
@@ -151,8 +151,8 @@
 /// Faults of targets' processes and of their entries in the list.
 fn life(rng: &mut StdRng) -> Fault {
     match rng.random_range(0..4) {
-        0 | 1 => Fault::ReplicaReborn,
-        2 => Fault::EntryGarbled,
+        0 | 1 => Fault::ReplicaRestarted,
+        2 => Fault::ListItemCorrupted,
         _ => Fault::FatalRequest,
     }
 }
@@ -160,16 +160,17 @@
 /// What replicas say of themselves.
 fn notice(rng: &mut StdRng) -> Fault {
     match rng.random_range(0..4) {
-        0 => Fault::ReplicaTells,
+        0 => Fault::ReplicaAnnouncesLeave,
         _ => Fault::ReplicaSheds(rng.random_range(600..3_500)),
     }
 }
 
 /// Limits that replicas name, for long enough to be counted.
-fn limit(rng: &mut StdRng, length: u64) -> Planned {
-    let lasts = rng.random_range(1_500..8_000);
+fn limit(rng: &mut StdRng, length: u64) -> PlannedFault {
+    let duration_ms = rng.random_range(1_500..8_000);
     let limit = [2, 10, 10, 40, 200][rng.random_range(0..5)];
-    Planned { lasts, ..plan(rng, length, |_| Fault::RouteAdded) }.with(Fault::ReplicaLimits(limit))
+    PlannedFault { duration_ms, ..plan(rng, length, |_| Fault::RouteAdded) }
+        .with(Fault::ReplicaLimits(limit))
 }
 
 fn restore(_: &mut StdRng) -> Fault {
@@ -177,13 +178,13 @@
 }
 
 fn vanish(_: &mut StdRng) -> Fault {
-    Fault::ReplicaVanishes
+    Fault::ReplicaUnlisted
 }
 
-fn plan(rng: &mut StdRng, length: u64, fault: fn(&mut StdRng) -> Fault) -> Planned {
-    Planned {
+fn plan(rng: &mut StdRng, length: u64, fault: fn(&mut StdRng) -> Fault) -> PlannedFault {
+    PlannedFault {
         at: rng.random_range(0..length),
-        lasts: rng.random_range(100..1_500),
+        duration_ms: rng.random_range(100..1_500),
         who: rng.random_range(0..64),
         fault: fault(rng),
     }
@@ -193,10 +194,10 @@
 /// and up to four times that targets speak beside them, up to two limits that they
 /// name, up to two restores of the store, and up to two targets that leave without a word, in
 /// the order of their times.
-pub fn draw(seed: u64, length: u64) -> Vec<Planned> {
+pub fn draw(seed: u64, length: u64) -> Vec<PlannedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let count = rng.random_range(4..=12);
-    let mut list: Vec<Planned> = (0..count).map(|_| plan(&mut rng, length, fault)).collect();
+    let mut list: Vec<PlannedFault> = (0..count).map(|_| plan(&mut rng, length, fault)).collect();
     let count = rng.random_range(0..=4);
     list.extend((0..count).map(|_| plan(&mut rng, length, life)));
     let count = rng.random_range(0..=4);
--- a/crates/sablepass-stand/tests/soak.rs
+++ b/crates/sablepass-stand/tests/soak.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sablepass_stand::soak::judge::Guarantee;
-use sablepass_stand::soak::schedule::{self, Fault, Planned};
+use sablepass_stand::soak::schedule::{self, Fault, PlannedFault};
 use sablepass_stand::soak::{self, Options};
 
 /// Seeds that are run each time.
@@ -20,7 +20,7 @@
     for seed in SEEDS.into_iter().chain(FAILED) {
         let plan = schedule::draw(seed, options.length);
         let outcome = soak::run(&options, &plan);
-        let told: Vec<String> = plan.iter().map(Planned::to_string).collect();
+        let told: Vec<String> = plan.iter().map(PlannedFault::to_string).collect();
         assert!(outcome.violations.is_empty(), "seed {seed}: {told:#?}\n{:#?}", outcome.violations);
         assert!(outcome.answered > 0, "seed {seed} served nothing");
     }
@@ -36,7 +36,9 @@
     let kinds = |wanted: fn(&Fault) -> bool| {
         (0..100).any(|seed| schedule::draw(seed, 4_000).iter().any(|it| wanted(&it.fault)))
     };
-    assert!(kinds(|it| matches!(it, Fault::StoreForgets)) && kinds(|it| *it == Fault::RouteAdded));
+    assert!(
+        kinds(|it| matches!(it, Fault::StoreHistoryLost)) && kinds(|it| *it == Fault::RouteAdded)
+    );
 }
 
 /// The judge sees what goes wrong: a caller that hears nothing for longer than a
