--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -31,7 +31,7 @@
 const SHIFTS: Duration = Duration::from_millis(600);
 /// Body of a request that ends each replica that begins to run it, and the time after
 /// which its caller repeats it.
-pub const FATAL: &str = "ends whatever runs it";
+pub const FATAL_BODY: &str = "ends whatever runs it";
 const REPEATS: Duration = Duration::from_millis(60);
 /// Time between two looks whether a replica has ended.
 const WATCHED: Duration = Duration::from_millis(2);
@@ -52,7 +52,7 @@
 
 /// What was struck.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Struck {
+pub enum Component {
     /// An entry, so that requests there may be lost.
     Entry(usize),
     /// A replica or the link to it.
@@ -63,9 +63,9 @@
 
 /// Something struck, from when to when in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Strike {
+pub struct FaultWindow {
     /// What.
-    pub what: Struck,
+    pub component: Component,
     /// From when.
     pub from: u64,
     /// To when.
@@ -87,7 +87,7 @@
     ready: Vec<usize>,
     /// Since when each entry runs.
     pub(super) began: Vec<u64>,
-    pub(super) strikes: Vec<Strike>,
+    pub(super) fault_windows: Vec<FaultWindow>,
     /// Replicas that leave, and since when.
     pub(super) leaving: Vec<(usize, u64)>,
     /// Those of them that are still listed.
@@ -114,7 +114,7 @@
             alive: Vec::new(),
             ready: Vec::new(),
             began: Vec::new(),
-            strikes: Vec::new(),
+            fault_windows: Vec::new(),
             leaving: Vec::new(),
             draining: Vec::new(),
             routes: Vec::new(),
@@ -194,7 +194,7 @@
 
     /// Lists a replica that has just started, behind a proxy.
     fn list_replica(&mut self, replica: &Replica) {
-        replica.end_on(FATAL);
+        replica.end_on(FATAL_BODY);
         let to = replica.addr.to_string();
         let any = "127.0.0.1:0";
         let proxy = Process::spawn(
@@ -233,7 +233,7 @@
                     break;
                 }
                 let id = format!("fatal-{}-{number}", clock::now());
-                site::ask("POST", "/stream/x", &id, FATAL).send(addr);
+                site::ask("POST", "/stream/x", &id, FATAL_BODY).send(addr);
                 std::thread::sleep(REPEATS);
             }
         });
@@ -283,13 +283,13 @@
         match it.fault {
             Fault::EntryKilled => {
                 let who = entry?;
-                self.strike(Struck::Entry(who), it);
+                self.record_fault(Component::Entry(who), it);
                 self.site.entries[who].kill();
                 self.leave(who);
                 Some(who)
             }
             Fault::EntryPaused => {
-                self.strike(Struck::Entry(entry?), it);
+                self.record_fault(Component::Entry(entry?), it);
                 self.site.entries[entry?].pause();
                 entry
             }
@@ -316,7 +316,7 @@
                 Some(rank)
             }
             Fault::ReplicaMode(mode) => {
-                self.strike(Struck::Replica(replica?), it);
+                self.record_fault(Component::Replica(replica?), it);
                 self.site.replicas[replica?].set(mode);
                 replica
             }
@@ -368,17 +368,17 @@
                 Some(0)
             }
             Fault::Link(link) => {
-                self.strike(Struck::Replica(replica?), it);
+                self.record_fault(Component::Replica(replica?), it);
                 self.link(replica?, link.command());
                 replica
             }
             Fault::StoreMode(mode) => {
-                self.strike(Struck::Store, it);
+                self.record_fault(Component::Store, it);
                 self.site.store.set(mode);
                 Some(0)
             }
             Fault::StoreHistoryLost => {
-                self.strike(Struck::Store, it);
+                self.record_fault(Component::Store, it);
                 self.site.store.forget();
                 None
             }
@@ -387,8 +387,8 @@
                 self.add_route();
                 std::thread::sleep(KNOWN);
                 let writes = WRITTEN_AGAIN.as_millis() as u64;
-                self.strike(
-                    Struck::Store,
+                self.record_fault(
+                    Component::Store,
                     &PlannedFault { duration_ms: it.duration_ms + writes, ..*it },
                 );
                 self.site.store.set(keys::Mode::Down);
@@ -495,9 +495,13 @@
         client::control(&self.proxies[who].addr("control"), "POST", "/control", command);
     }
 
-    fn strike(&mut self, what: Struck, it: &PlannedFault) {
+    fn record_fault(&mut self, component: Component, it: &PlannedFault) {
         let from = clock::now();
-        self.strikes.push(Strike { what, from, until: from + it.duration_ms + soak::judge::AFTER });
+        self.fault_windows.push(FaultWindow {
+            component,
+            from,
+            until: from + it.duration_ms + soak::judge::FAULT_GRACE_MS,
+        });
     }
 }
 
--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -11,10 +11,10 @@
 use crate::limits;
 use crate::replica::{self, Arrival, Replica, most_in_rest};
 use crate::soak::callers::{Kind, Sample};
-use crate::soak::fleet::{FATAL, Fleet, Strike, Struck};
+use crate::soak::fleet::{Component, FATAL_BODY, FaultWindow, Fleet};
 
 /// Milliseconds after a strike in which its effects are still seen.
-pub const AFTER: u64 = 500;
+pub const FAULT_GRACE_MS: u64 = 500;
 /// Milliseconds within which an acknowledged change is in force. As the users'
 /// platform has it, and half a second for a busy machine.
 const IN_FORCE: u64 = 2_500;
@@ -93,7 +93,7 @@
     /// What callers saw.
     pub samples: Vec<Sample>,
     runs: HashMap<String, Vec<Begun>>,
-    strikes: Vec<Strike>,
+    fault_windows: Vec<FaultWindow>,
     /// Since when each entry runs.
     began: Vec<u64>,
     leaving: Vec<(usize, u64)>,
@@ -114,14 +114,14 @@
         let before = fleet.group.progress().0;
         std::thread::sleep(STEPS);
         let mut runs: HashMap<String, Vec<Begun>> = HashMap::new();
-        let mut strikes = fleet.strikes.clone();
+        let mut fault_windows = fleet.fault_windows.clone();
         let mut fatal = 0;
         for (replica, it) in fleet.site.replicas.iter().enumerate() {
             if let Some(at) = it.ended_at() {
-                let what = Struck::Replica(replica);
-                strikes.push(Strike { what, from: at, until: at + AFTER });
+                let component = Component::Replica(replica);
+                fault_windows.push(FaultWindow { component, from: at, until: at + FAULT_GRACE_MS });
             }
-            fatal += it.runs().iter().filter(|it| it.body == FATAL.as_bytes()).count();
+            fatal += it.runs().iter().filter(|it| it.body == FATAL_BODY.as_bytes()).count();
             for run in it.runs() {
                 runs.entry(run.id).or_default().push(Begun { replica, at: run.began });
             }
@@ -129,7 +129,7 @@
         Self {
             samples,
             runs,
-            strikes,
+            fault_windows,
             fatal,
             began: fleet.began.clone(),
             leaving: fleet.leaving.clone(),
@@ -146,9 +146,9 @@
         self.runs.get(id).map_or(&[], Vec::as_slice)
     }
 
-    fn struck(&self, what: Struck, from: u64, until: u64) -> bool {
-        let overlaps = |it: &Strike| it.from <= until && it.until >= from;
-        self.strikes.iter().any(|it| it.what == what && overlaps(it))
+    fn affected(&self, component: Component, from: u64, until: u64) -> bool {
+        let overlaps = |it: &FaultWindow| it.from <= until && it.until >= from;
+        self.fault_windows.iter().any(|it| it.component == component && overlaps(it))
     }
 }
 
@@ -208,9 +208,9 @@
     if let Some(run) = runs.iter().find(|run| came_late(it, sample, run)) {
         return violation(Guarantee::Drain, &format!("sent to leaving replica {}", run.replica));
     }
-    let (from, until) = (sample.sent.saturating_sub(AFTER), sample.ended);
-    let entry = it.struck(Struck::Entry(sample.entry), from, until);
-    let way = runs.iter().any(|run| it.struck(Struck::Replica(run.replica), from, until));
+    let (from, until) = (sample.sent.saturating_sub(FAULT_GRACE_MS), sample.ended);
+    let entry = it.affected(Component::Entry(sample.entry), from, until);
+    let way = runs.iter().any(|run| it.affected(Component::Replica(run.replica), from, until));
     if status == 0 && !runs.is_empty() && !entry && !way {
         return violation(Guarantee::Answered, "ran and was not answered");
     }
@@ -235,15 +235,15 @@
     leaving.is_some_and(|&(_, since)| {
         let known = run.at.saturating_sub(IN_FORCE);
         let began = it.began[sample.entry];
-        let told = !it.struck(Struck::Store, since, run.at.min(since + IN_FORCE));
+        let told = !it.affected(Component::Store, since, run.at.min(since + IN_FORCE));
         let started = since.max(began.saturating_sub(IN_FORCE));
         let read =
-            began < since || !it.struck(Struck::Store, started, run.at.min(began + IN_FORCE));
+            began < since || !it.affected(Component::Store, started, run.at.min(began + IN_FORCE));
         since < known
             && told
             && read
-            && !it.struck(Struck::Entry(sample.entry), since, run.at)
-            && !it.struck(Struck::Replica(run.replica), since, run.at)
+            && !it.affected(Component::Entry(sample.entry), since, run.at)
+            && !it.affected(Component::Replica(run.replica), since, run.at)
     })
 }
 
@@ -266,8 +266,8 @@
         let since = it.routes[route as usize - 1];
         let back = seen.get(&key).is_some_and(|first| sample.sent > *first);
         let late = sample.sent > since.max(it.began[sample.entry]) + IN_FORCE
-            && !it.struck(Struck::Store, since, sample.ended)
-            && !it.struck(Struck::Entry(sample.entry), since, sample.ended);
+            && !it.affected(Component::Store, since, sample.ended)
+            && !it.affected(Component::Entry(sample.entry), since, sample.ended);
         if back || late {
             let after = sample.sent.saturating_sub(since);
             let seen = format!(
@@ -290,13 +290,18 @@
         // Those of the request that ends targets have no sample.
         let Some(sample) = sent.get(arrival.id.as_str()) else { continue };
         let until = arrival.at + arrival.rest.unwrap_or(0);
-        let excused = it.struck(Struck::Entry(sample.entry), arrival.at, until)
-            || it.struck(Struck::Replica(replica), arrival.at.saturating_sub(AFTER), until);
+        let excused = it.affected(Component::Entry(sample.entry), arrival.at, until)
+            || it.affected(
+                Component::Replica(replica),
+                arrival.at.saturating_sub(FAULT_GRACE_MS),
+                until,
+            );
         let rest = arrival.rest.filter(|_| !excused);
         let arrival = Arrival { rest, ..arrival.clone() };
         from.entry(sample.entry).or_default().push(arrival);
     }
-    let worst = from.iter().map(|(entry, all)| (most_in_rest(all, AFTER), *entry)).max()?;
+    let worst =
+        from.iter().map(|(entry, all)| (most_in_rest(all, FAULT_GRACE_MS), *entry)).max()?;
     let seen = format!("{} from entry {} to resting replica {replica}", worst.0, worst.1);
     (worst.0 > MOST_IN_REST).then_some(Violation { guarantee: Guarantee::Backoff, seen })
 }
@@ -313,9 +318,13 @@
             continue;
         };
         let told = *told.entry(sample.entry).or_insert(arrival.at);
-        let excused = it.struck(Struck::Entry(sample.entry), told, arrival.at)
-            || it.struck(Struck::Replica(replica), told.saturating_sub(AFTER), arrival.at);
-        if arrival.at > told + AFTER && !excused {
+        let excused = it.affected(Component::Entry(sample.entry), told, arrival.at)
+            || it.affected(
+                Component::Replica(replica),
+                told.saturating_sub(FAULT_GRACE_MS),
+                arrival.at,
+            );
+        if arrival.at > told + FAULT_GRACE_MS && !excused {
             counted.push((arrival.at, limit));
         }
     }
@@ -340,9 +349,13 @@
     let late = it.arrivals[replica].iter().find(|arrival| {
         let Some(sample) = sent.get(arrival.id.as_str()) else { return false };
         let Some(at) = known.get(&sample.entry) else { return false };
-        sample.sent > at + AFTER
-            && !it.struck(Struck::Entry(sample.entry), *at, arrival.at)
-            && !it.struck(Struck::Replica(replica), at.saturating_sub(AFTER), arrival.at)
+        sample.sent > at + FAULT_GRACE_MS
+            && !it.affected(Component::Entry(sample.entry), *at, arrival.at)
+            && !it.affected(
+                Component::Replica(replica),
+                at.saturating_sub(FAULT_GRACE_MS),
+                arrival.at,
+            )
     });
     late.map(|arrival| {
         let seen = format!("{} sent to replica {replica}, which had said it leaves", arrival.id);
