--- a/crates/sablepass-stand/src/soak.rs
+++ b/crates/sablepass-stand/src/soak.rs
@@ -58,21 +58,21 @@
 
 /// Runs a schedule.
 pub fn run(options: &Options, plan: &[PlannedFault]) -> Outcome {
-    run_beside(options, plan, |_| {})
+    run_with_unrecorded(options, plan, |_| {})
 }
 
 /// The same with something after it that the judge is not told of.
-pub fn run_beside(
+pub fn run_with_unrecorded(
     options: &Options,
     plan: &[PlannedFault],
     unseen: impl FnOnce(&Fleet),
 ) -> Outcome {
-    let mut fleet = Fleet::open(options);
-    let callers = Callers::spawn(options.callers, fleet.board());
-    fleet.play(plan);
+    let mut fleet = Fleet::start(options);
+    let callers = Callers::spawn(options.callers, fleet.directory());
+    fleet.run_schedule(plan);
     unseen(&fleet);
     std::thread::sleep(QUIET);
-    let samples = callers.end();
+    let samples = callers.join();
     let observations = Observations::collect(&mut fleet, samples);
     Outcome {
         violations: judge::check(&observations),
--- a/crates/sablepass-stand/src/soak/callers.rs
+++ b/crates/sablepass-stand/src/soak/callers.rs
@@ -46,7 +46,7 @@
 
 /// What callers know: where entries take them, and the routes there are.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Directory {
     /// Number and address of each entry that takes new callers.
     pub entries: Mutex<Vec<(usize, String)>>,
     /// Routes declared so far.
@@ -62,31 +62,31 @@
 
 impl Callers {
     /// Starts so many callers.
-    pub fn spawn(count: usize, board: Arc<Board>) -> Self {
+    pub fn spawn(count: usize, directory: Arc<Directory>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let one = |number| {
-            let (stop, board) = (stop.clone(), board.clone());
-            std::thread::spawn(move || work(number, &stop, &board))
+            let (stop, directory) = (stop.clone(), directory.clone());
+            std::thread::spawn(move || work(number, &stop, &directory))
         };
         let threads = (0..count).map(one).collect();
         Self { stop, threads }
     }
 
     /// Has them end after their last answer, and returns what they saw.
-    pub fn end(self) -> Vec<Sample> {
+    pub fn join(self) -> Vec<Sample> {
         self.stop.store(true, Ordering::Relaxed);
         let samples = self.threads.into_iter().map(|it| it.join().expect("a caller ends"));
         samples.flatten().collect()
     }
 }
 
-fn work(number: usize, stop: &AtomicBool, board: &Board) -> Vec<Sample> {
+fn work(number: usize, stop: &AtomicBool, directory: &Directory) -> Vec<Sample> {
     let caller = Caller::open();
     let mut samples = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let turn = samples.len();
         let entry = {
-            let entries = board.entries.lock().unwrap_or_else(PoisonError::into_inner);
+            let entries = directory.entries.lock().unwrap_or_else(PoisonError::into_inner);
             // Callers and turns meet all entries and all kinds.
             entries.get((number + turn) % entries.len().max(1)).cloned()
         };
@@ -94,7 +94,7 @@
             std::thread::sleep(Duration::from_millis(5));
             continue;
         };
-        samples.push(ask(&caller, (number, turn), (entry, &addr), board));
+        samples.push(ask(&caller, (number, turn), (entry, &addr), directory));
     }
     samples
 }
@@ -103,9 +103,9 @@
     caller: &Caller,
     (number, turn): (usize, usize),
     (entry, addr): (usize, &str),
-    board: &Board,
+    directory: &Directory,
 ) -> Sample {
-    let routes = board.routes.load(Ordering::Relaxed);
+    let routes = directory.routes.load(Ordering::Relaxed);
     let kind = match (number + turn / 3) % 4 {
         0 => Kind::Stream,
         1 => Kind::Safe,
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -20,7 +20,7 @@
 use crate::replica::{self, Replica};
 use crate::site::{self, Site};
 use crate::soak::Options;
-use crate::soak::callers::Board;
+use crate::soak::callers::Directory;
 use crate::soak::schedule::{Fault, PlannedFault};
 use crate::{keys, soak};
 
@@ -80,7 +80,7 @@
     agents: Vec<Process>,
     port: u16,
     proxies: Vec<Process>,
-    board: Arc<Board>,
+    directory: Arc<Directory>,
     /// Entries that take callers, by number.
     alive: Vec<usize>,
     /// Replicas that are listed as ready.
@@ -103,14 +103,14 @@
 
 impl Fleet {
     /// Starts everything and waits until entries know all replicas.
-    pub fn open(options: &Options) -> Self {
+    pub fn start(options: &Options) -> Self {
         let mut fleet = Self {
             site: Site::open(0),
             group: Group::spawn(RANKS),
             agents: Vec::new(),
             port: ranks::free_port(RANKS),
             proxies: Vec::new(),
-            board: Arc::default(),
+            directory: Arc::default(),
             alive: Vec::new(),
             ready: Vec::new(),
             began: Vec::new(),
@@ -154,8 +154,8 @@
     }
 
     /// What callers go by.
-    pub fn board(&self) -> Arc<Board> {
-        self.board.clone()
+    pub fn directory(&self) -> Arc<Directory> {
+        self.directory.clone()
     }
 
     fn configuration(&self) -> Value {
@@ -185,7 +185,7 @@
 
     fn publish(&self) {
         let known = self.alive.iter().map(|it| (*it, self.site.http(*it))).collect();
-        *self.board.entries.lock().unwrap_or_else(PoisonError::into_inner) = known;
+        *self.directory.entries.lock().unwrap_or_else(PoisonError::into_inner) = known;
     }
 
     fn add_replica(&mut self) {
@@ -245,14 +245,14 @@
     }
 
     /// Pauses an entry for so long, without a note of it.
-    pub fn pause_unseen(&self, entry: usize, span: Duration) {
+    pub fn pause_unrecorded(&self, entry: usize, span: Duration) {
         self.site.entries[entry].pause();
         std::thread::sleep(span);
         self.site.entries[entry].wake();
     }
 
     /// Plays a schedule to its end.
-    pub fn play(&mut self, plan: &[PlannedFault]) {
+    pub fn run_schedule(&mut self, plan: &[PlannedFault]) {
         let started = Instant::now();
         // Numbers stay fixed from a fault's beginning to its end.
         let mut turns: Vec<(u64, bool, usize)> = Vec::new();
@@ -446,7 +446,7 @@
     fn add_route(&mut self) {
         self.routes.push(clock::now());
         self.site.configure(&self.configuration());
-        self.board.routes.store(self.routes.len() as u64, Ordering::Relaxed);
+        self.directory.routes.store(self.routes.len() as u64, Ordering::Relaxed);
     }
 
     /// Restores the store from a copy. What it lost is written again a little later, and lines
--- a/crates/sablepass-stand/tests/soak.rs
+++ b/crates/sablepass-stand/tests/soak.rs
@@ -48,6 +48,7 @@
     let options = Options { entries: 1, replicas: 2, callers: 2, length: 100 };
     let pause = Duration::from_millis(5_500);
     let violations =
-        soak::run_beside(&options, &[], |fleet| fleet.pause_unseen(0, pause)).violations;
+        soak::run_with_unrecorded(&options, &[], |fleet| fleet.pause_unrecorded(0, pause))
+            .violations;
     assert!(violations.iter().any(|it| it.guarantee == Guarantee::Timeout), "{violations:?}");
 }
