--- a/crates/sablepass-stand/src/soak.rs
+++ b/crates/sablepass-stand/src/soak.rs
@@ -1,14 +1,14 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A fault soak: real entries and agents as processes of their own, stand-ins
-//! for the store, replicas and a group of ranks, faults from outside by a seeded
-//! schedule, callers that go on meanwhile, and a judge of what they and the
-//! targets saw.
+//! Fault-injection soak test: runs the real entry and agent programs as separate
+//! processes against simulated replicas, ranks and store, injects the faults of a
+//! seeded schedule while callers send requests, and then checks the guarantees of
+//! the system against what callers and targets observed.
 //!
-//! The same seed and options give the same schedule. What processes do in
-//! between is up to the machine, so a seed that failed is a schedule to repeat,
-//! not a proof by itself.
+//! The same seed and fault period give the same schedule. Process scheduling and
+//! timing still differ from run to run, so a failing seed reproduces the schedule,
+//! not necessarily the failure.
 
 pub mod callers;
 pub mod fleet;
@@ -22,56 +22,57 @@
 use crate::soak::judge::{Observations, Violation};
 use crate::soak::schedule::PlannedFault;
 
-/// Time after the last fault in which everything has to be well again.
-const QUIET: Duration = Duration::from_millis(3_000);
+/// Time after the last fault within which the system must have recovered.
+const RECOVERY_TIME: Duration = Duration::from_millis(3_000);
 
-/// Size and length of a run.
+/// Size and duration of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Replicas, each behind a proxy of its own.
+    /// Number of replicas at the start, each behind its own fault-injecting proxy.
     pub replicas: usize,
-    /// Callers.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Milliseconds in which faults begin.
+    /// Period within which faults start, in milliseconds.
     pub length: u64,
 }
 
 impl Default for Options {
-    /// Some two dozen processes and four seconds of faults.
+    /// About two dozen processes, and faults that start within four seconds.
     fn default() -> Self {
         Self { entries: 4, replicas: 6, callers: 12, length: 4_000 }
     }
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
     /// Requests that callers sent.
     pub requests: usize,
-    /// Those answered with success.
+    /// Requests answered with status 200.
     pub answered: usize,
 }
 
-/// Runs a schedule.
+/// Runs a schedule of faults and checks the guarantees.
 pub fn run(options: &Options, plan: &[PlannedFault]) -> Outcome {
     run_with_unrecorded(options, plan, |_| {})
 }
 
-/// The same with something after it that the judge is not told of.
+/// Like [`run`], but calls `unrecorded` after the schedule. Faults that it injects are not
+/// recorded, so the checks don't excuse their effects.
 pub fn run_with_unrecorded(
     options: &Options,
     plan: &[PlannedFault],
-    unseen: impl FnOnce(&Fleet),
+    unrecorded: impl FnOnce(&Fleet),
 ) -> Outcome {
     let mut fleet = Fleet::start(options);
     let callers = Callers::spawn(options.callers, fleet.directory());
     fleet.run_schedule(plan);
-    unseen(&fleet);
-    std::thread::sleep(QUIET);
+    unrecorded(&fleet);
+    std::thread::sleep(RECOVERY_TIME);
     let samples = callers.join();
     let observations = Observations::collect(&mut fleet, samples);
     Outcome {
@@ -81,24 +82,26 @@
     }
 }
 
-/// Leaves out faults one by one for as long as the rest still breaks the same
-/// promise. Each try is run twice, since not every run of a schedule shows it.
+/// Minimises a failing schedule: removes each fault in turn and leaves it out if the
+/// remaining faults still violate the same guarantee. Each candidate runs up to twice,
+/// since not every run of a schedule reproduces the failure.
 pub fn shrink(
     options: &Options,
     plan: &[PlannedFault],
     guarantee: judge::Guarantee,
 ) -> Vec<PlannedFault> {
-    let mut left = plan.to_vec();
-    let mut at = 0;
-    while at < left.len() {
-        let mut fewer = left.clone();
-        fewer.remove(at);
-        let breaks = |_| run(options, &fewer).violations.iter().any(|it| it.guarantee == guarantee);
-        if (0..2).any(breaks) {
-            left = fewer;
+    let mut remaining = plan.to_vec();
+    let mut index = 0;
+    while index < remaining.len() {
+        let mut candidate = remaining.clone();
+        candidate.remove(index);
+        let fails =
+            |_| run(options, &candidate).violations.iter().any(|it| it.guarantee == guarantee);
+        if (0..2).any(fails) {
+            remaining = candidate;
         } else {
-            at += 1;
+            index += 1;
         }
     }
-    left
+    remaining
 }
