--- a/crates/sablepass-stand/src/soak/callers.rs
+++ b/crates/sablepass-stand/src/soak/callers.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Callers of a soak: each asks one request after the other, of any entry that
-//! takes new callers, over connections that it keeps until they break.
+//! Callers of the soak: threads that send requests one after the other to the entries
+//! that accept callers, over persistent connections, and record the answers.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,46 +14,48 @@
 use crate::client::{Answer, Caller};
 use crate::site;
 
-/// What a request asks for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A stream that may be resumed.
+    /// A resumable stream.
     Stream,
-    /// May run twice.
+    /// A request that is safe to repeat.
     Safe,
-    /// Must run at most once.
+    /// A request that must run at most once.
     Once,
-    /// May run twice, on the route of this number, declared meanwhile.
+    /// A request that is safe to repeat, on the route with this number, which was declared
+    /// during the run. Numbers start at 1.
     Added(u64),
 }
 
-/// A request and what its caller saw.
+/// A request and its caller's observations.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Its name, unique in the run.
+    /// Request id, unique within the run.
     pub id: String,
-    /// What it asked for.
+    /// Kind of the request.
     pub kind: Kind,
-    /// Number of the entry that it was sent to.
+    /// Number of the entry that the request was sent to.
     pub entry: usize,
-    /// When it was sent, and when its caller knew the end. Milliseconds.
+    /// Time at which the request was sent. Milliseconds since the Unix epoch.
     pub sent: u64,
-    /// See above.
+    /// Time at which the caller had the whole answer or an error. Milliseconds since the
+    /// Unix epoch.
     pub ended: u64,
-    /// What came.
+    /// The answer; its status is 0 if there was none.
     pub answer: Answer,
 }
 
-/// What callers know: where entries take them, and the routes there are.
+/// Entries and routes that callers may use, kept up to date by the fleet.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// Number and address of each entry that takes new callers.
+    /// Number and address of each entry that accepts callers.
     pub entries: Mutex<Vec<(usize, String)>>,
-    /// Routes declared so far.
+    /// Number of routes added so far.
     pub routes: AtomicU64,
 }
 
-/// Callers at work.
+/// Running callers.
 #[derive(Debug)]
 pub struct Callers {
     stop: Arc<AtomicBool>,
@@ -61,64 +63,65 @@
 }
 
 impl Callers {
-    /// Starts so many callers.
+    /// Starts `count` callers.
     pub fn spawn(count: usize, directory: Arc<Directory>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let one = |number| {
+        let start = |number| {
             let (stop, directory) = (stop.clone(), directory.clone());
-            std::thread::spawn(move || work(number, &stop, &directory))
+            std::thread::spawn(move || run_caller(number, &stop, &directory))
         };
-        let threads = (0..count).map(one).collect();
+        let threads = (0..count).map(start).collect();
         Self { stop, threads }
     }
 
-    /// Has them end after their last answer, and returns what they saw.
+    /// Stops the callers once their outstanding requests are answered, and returns all
+    /// samples.
     pub fn join(self) -> Vec<Sample> {
         self.stop.store(true, Ordering::Relaxed);
-        let samples = self.threads.into_iter().map(|it| it.join().expect("a caller ends"));
+        let samples = self.threads.into_iter().map(|it| it.join().expect("caller thread panicked"));
         samples.flatten().collect()
     }
 }
 
-fn work(number: usize, stop: &AtomicBool, directory: &Directory) -> Vec<Sample> {
+fn run_caller(number: usize, stop: &AtomicBool, directory: &Directory) -> Vec<Sample> {
     let caller = Caller::open();
     let mut samples = Vec::new();
     while !stop.load(Ordering::Relaxed) {
-        let turn = samples.len();
+        let round = samples.len();
         let entry = {
             let entries = directory.entries.lock().unwrap_or_else(PoisonError::into_inner);
-            // Callers and turns meet all entries and all kinds.
-            entries.get((number + turn) % entries.len().max(1)).cloned()
+            // The offset by caller and round spreads requests over all entries.
+            entries.get((number + round) % entries.len().max(1)).cloned()
         };
         let Some((entry, addr)) = entry else {
             std::thread::sleep(Duration::from_millis(5));
             continue;
         };
-        samples.push(ask(&caller, (number, turn), (entry, &addr), directory));
+        samples.push(send_request(&caller, (number, round), (entry, &addr), directory));
     }
     samples
 }
 
-fn ask(
+fn send_request(
     caller: &Caller,
-    (number, turn): (usize, usize),
+    (number, round): (usize, usize),
     (entry, addr): (usize, &str),
     directory: &Directory,
 ) -> Sample {
     let routes = directory.routes.load(Ordering::Relaxed);
-    let kind = match (number + turn / 3) % 4 {
+    let kind = match (number + round / 3) % 4 {
         0 => Kind::Stream,
         1 => Kind::Safe,
         2 => Kind::Once,
-        _ if routes > 0 => Kind::Added(1 + turn as u64 % routes),
+        _ if routes > 0 => Kind::Added(1 + round as u64 % routes),
         _ => Kind::Stream,
     };
-    let id = format!("c{number}-{turn}");
+    let id = format!("c{number}-{round}");
     let request = match kind {
         Kind::Stream => site::ask("POST", "/stream/x", &id, "prompt"),
         Kind::Safe => site::ask("GET", "/safe/x", &id, ""),
         Kind::Once => site::ask("POST", "/once/x", &id, &id),
-        Kind::Added(it) => site::ask("GET", &format!("/added-{it}/x"), &id, ""),
+        Kind::Added(route) => site::ask("GET", &format!("/added-{route}/x"), &id, ""),
     };
     let sent = clock::now();
     let answer = caller.send(&request, addr);
