--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -276,10 +276,10 @@
 
     /// Begins a fault. The number of what it strikes; none if there is nothing.
     fn begin(&mut self, it: &PlannedFault) -> Option<usize> {
-        let of = |list: &[usize]| list.get(it.who % list.len().max(1)).copied();
+        let of = |list: &[usize]| list.get(it.selector % list.len().max(1)).copied();
         let entry = of(&self.alive);
         let replica = of(&self.ready);
-        let rank = it.who % RANKS;
+        let rank = it.selector % RANKS;
         match it.fault {
             Fault::EntryKilled => {
                 let who = entry?;
--- a/crates/sablepass-stand/src/soak/schedule.rs
+++ b/crates/sablepass-stand/src/soak/schedule.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What happens in a run, and when: drawn from a seed.
+//! Fault schedules: draws the faults of a soak run and their times from a seed.
 
 use std::fmt;
 
@@ -10,74 +10,76 @@
 
 use crate::{keys, replica};
 
-/// Something that goes wrong, or that an operator does.
+/// A fault, or an operator's action, that the fleet injects. Where a variant says "for the
+/// fault's duration", [`PlannedFault::duration_ms`] gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An entry is killed, and another one takes its place after this.
+    /// An entry is killed; a new entry replaces it after the fault's duration.
     EntryKilled,
-    /// An entry is paused for this long.
+    /// An entry is suspended for the fault's duration.
     EntryPaused,
-    /// An entry is asked to stop, and another one takes its place once it has.
+    /// An entry is asked to shut down; a new entry replaces it once it has exited.
     EntryStopped,
-    /// An entry is told that its settings have changed.
+    /// An entry receives the signal to reload its settings.
     EntryReloaded,
-    /// An agent is killed and started again after this.
+    /// An agent is killed, and restarted after the fault's duration.
     AgentKilled,
-    /// An agent is paused for this long.
+    /// An agent is suspended for the fault's duration.
     AgentPaused,
-    /// A rank leaves orders unanswered.
+    /// A rank doesn't answer its agent's orders for the fault's duration.
     RankUnresponsive,
-    /// A replica misbehaves so.
+    /// A replica is in this mode for the fault's duration.
     ReplicaMode(replica::Mode),
-    /// A replica says that it is leaving, and goes for good after this.
+    /// A replica is listed as draining, and removed from the instance list after the fault's
+    /// duration.
     ReplicaLeaves,
-    /// A replica turns all away and asks for a rest of so many milliseconds.
+    /// A replica refuses all requests and asks for a back-off of this many milliseconds.
     ReplicaSheds(u64),
-    /// A replica names in its answers so many requests in ten seconds as its limit.
+    /// A replica's answers announce a limit of this many requests per ten seconds.
     ReplicaLimits(u32),
-    /// A replica says in its answers that it leaves while it is listed as ready, and goes for
-    /// good after this.
+    /// A replica's answers announce that it is leaving while it is still listed as ready; it is
+    /// removed from the instance list after the fault's duration.
     ReplicaAnnouncesLeave,
-    /// A replica's line is removed, and it serves on.
+    /// A replica is removed from the instance list without notice, and continues to serve.
     ReplicaUnlisted,
-    /// Another replica is listed.
+    /// A new replica starts and is listed.
     ReplicaAdded,
-    /// A replica's process ends, and starts again under its id after this.
+    /// A replica's process crashes; it restarts with the same id after the fault's duration.
     ReplicaRestarted,
-    /// A replica's entry of the list cannot be read.
+    /// A replica's item in the instance list can't be decoded for the fault's duration.
     ListItemCorrupted,
-    /// A caller repeats a request that ends each replica that begins to run it.
+    /// A caller repeats a request that crashes each replica that starts to run it.
     FatalRequest,
-    /// The link to a replica is as the proxy's command says.
+    /// The link to a replica has this fault.
     Link(Link),
-    /// The store misbehaves so.
+    /// The store is in this mode for the fault's duration.
     StoreMode(keys::Mode),
-    /// The store forgets its history.
+    /// The store loses its change history, so that earlier watches can't continue.
     StoreHistoryLost,
-    /// The store is away, and comes back from a copy after this; operators and replicas write
-    /// again what it lost.
+    /// The store is down for the fault's duration and is then restored from a backup;
+    /// operators and replicas rewrite the data that the backup lacks.
     StoreRestored,
-    /// Another route is declared.
+    /// A route is added to the configuration.
     RouteAdded,
 }
 
-/// What a proxy does to a link.
+/// Fault that a proxy applies to a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// Connections are closed and refused.
+    /// Open connections are closed and new ones refused.
     Cut,
-    /// Nothing passes.
+    /// Connections stay open, but no data is forwarded.
     Held,
-    /// Everything takes 150 ms longer.
+    /// Data is delayed by 150 ms.
     Slow,
-    /// A connection is closed within what goes to the replica.
+    /// Connections are closed after 120 bytes towards the replica.
     CutUp,
-    /// A connection is closed within what comes from it.
+    /// Connections are closed after 260 bytes from the replica.
     CutDown,
 }
 
 impl Link {
-    /// The proxy's command.
+    /// Control command that makes the proxy apply the fault.
     pub fn command(self) -> &'static str {
         match self {
             Self::Cut => "cut",
@@ -89,32 +91,37 @@
     }
 }
 
-/// A fault with its time.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// Milliseconds from the start.
+    /// Start of the fault, in milliseconds from the start of the schedule.
     pub at: u64,
-    /// Milliseconds that it lasts.
+    /// Duration of the fault, in milliseconds.
     pub duration_ms: u64,
-    /// Which of those that it may strike, by their number now.
-    pub who: usize,
-    /// What happens.
+    /// Selects the affected component: index, modulo their number, into the candidates at the
+    /// start of the fault.
+    pub selector: usize,
+    /// Kind of the fault.
     pub fault: Fault,
 }
 
 impl PlannedFault {
-    fn with(self, fault: Fault) -> Self {
+    fn with_fault(self, fault: Fault) -> Self {
         Self { fault, ..self }
     }
 }
 
 impl fmt::Display for PlannedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:5} ms, for {:4}: {:?} of {}", self.at, self.duration_ms, self.fault, self.who)
+        write!(
+            f,
+            "{:5} ms, for {:4}: {:?} of {}",
+            self.at, self.duration_ms, self.fault, self.selector
+        )
     }
 }
 
-const MODES: [replica::Mode; 9] = [
+const REPLICA_MODES: [replica::Mode; 9] = [
     replica::Mode::Full,
     replica::Mode::Failing,
     replica::Mode::ResetIn(3),
@@ -125,11 +132,12 @@
     replica::Mode::Garbage,
     replica::Mode::Asleep,
 ];
-const LINKS: [Link; 5] = [Link::Cut, Link::Held, Link::Slow, Link::CutUp, Link::CutDown];
-const STORES: [keys::Mode; 4] =
+const LINK_FAULTS: [Link; 5] = [Link::Cut, Link::Held, Link::Slow, Link::CutUp, Link::CutDown];
+const STORE_MODES: [keys::Mode; 4] =
     [keys::Mode::Down, keys::Mode::Silent, keys::Mode::Slow, keys::Mode::Refusing];
 
-fn fault(rng: &mut StdRng) -> Fault {
+/// Draws one of the general faults.
+fn draw_fault(rng: &mut StdRng) -> Fault {
     match rng.random_range(0..20) {
         0 | 1 => Fault::EntryKilled,
         2 => Fault::EntryPaused,
@@ -138,18 +146,18 @@
         6 => Fault::AgentKilled,
         7 | 18 => Fault::AgentPaused,
         8 => Fault::RankUnresponsive,
-        9 | 10 => Fault::ReplicaMode(MODES[rng.random_range(0..MODES.len())]),
+        9 | 10 => Fault::ReplicaMode(REPLICA_MODES[rng.random_range(0..REPLICA_MODES.len())]),
         11 => Fault::ReplicaLeaves,
         12 => Fault::ReplicaAdded,
-        13 | 14 => Fault::Link(LINKS[rng.random_range(0..LINKS.len())]),
-        15 => Fault::StoreMode(STORES[rng.random_range(0..STORES.len())]),
+        13 | 14 => Fault::Link(LINK_FAULTS[rng.random_range(0..LINK_FAULTS.len())]),
+        15 => Fault::StoreMode(STORE_MODES[rng.random_range(0..STORE_MODES.len())]),
         16 => Fault::StoreHistoryLost,
         _ => Fault::RouteAdded,
     }
 }
 
-/// Faults of targets' processes and of their entries in the list.
-fn life(rng: &mut StdRng) -> Fault {
+/// Draws a fault of a replica's process or of its item in the instance list.
+fn draw_process_fault(rng: &mut StdRng) -> Fault {
     match rng.random_range(0..4) {
         0 | 1 => Fault::ReplicaRestarted,
         2 => Fault::ListItemCorrupted,
@@ -157,57 +165,63 @@
     }
 }
 
-/// What replicas say of themselves.
-fn notice(rng: &mut StdRng) -> Fault {
+/// Draws a notice that a replica sends about itself.
+fn draw_notice(rng: &mut StdRng) -> Fault {
     match rng.random_range(0..4) {
         0 => Fault::ReplicaAnnouncesLeave,
         _ => Fault::ReplicaSheds(rng.random_range(600..3_500)),
     }
 }
 
-/// Limits that replicas name, for long enough to be counted.
-fn limit(rng: &mut StdRng, length: u64) -> PlannedFault {
+/// Draws a request limit that a replica announces, for long enough that requests under it
+/// are counted.
+fn draw_limit(rng: &mut StdRng, length: u64) -> PlannedFault {
     let duration_ms = rng.random_range(1_500..8_000);
     let limit = [2, 10, 10, 40, 200][rng.random_range(0..5)];
-    PlannedFault { duration_ms, ..plan(rng, length, |_| Fault::RouteAdded) }
-        .with(Fault::ReplicaLimits(limit))
+    PlannedFault { duration_ms, ..draw_planned(rng, length, |_| Fault::RouteAdded) }
+        .with_fault(Fault::ReplicaLimits(limit))
 }
 
-fn restore(_: &mut StdRng) -> Fault {
+fn store_restored(_: &mut StdRng) -> Fault {
     Fault::StoreRestored
 }
 
-fn vanish(_: &mut StdRng) -> Fault {
+fn replica_unlisted(_: &mut StdRng) -> Fault {
     Fault::ReplicaUnlisted
 }
 
-fn plan(rng: &mut StdRng, length: u64, fault: fn(&mut StdRng) -> Fault) -> PlannedFault {
+fn draw_planned(
+    rng: &mut StdRng,
+    length: u64,
+    draw_fault: fn(&mut StdRng) -> Fault,
+) -> PlannedFault {
     PlannedFault {
         at: rng.random_range(0..length),
         duration_ms: rng.random_range(100..1_500),
-        who: rng.random_range(0..64),
-        fault: fault(rng),
+        selector: rng.random_range(0..64),
+        fault: draw_fault(rng),
     }
 }
 
-/// A schedule: four to twelve faults that overlap, up to four of targets' lives
-/// and up to four times that targets speak beside them, up to two limits that they
-/// name, up to two restores of the store, and up to two targets that leave without a word, in
-/// the order of their times.
+/// Draws a schedule whose faults start within `length` milliseconds and may overlap, sorted by
+/// start time: 4 to 12 general faults, and up to 4 faults of replica processes, 4 notices of
+/// replicas, 2 announced limits, 2 restores of the store, and 2 replicas that are unlisted
+/// without notice.
 pub fn draw(seed: u64, length: u64) -> Vec<PlannedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let count = rng.random_range(4..=12);
-    let mut list: Vec<PlannedFault> = (0..count).map(|_| plan(&mut rng, length, fault)).collect();
+    let mut schedule: Vec<PlannedFault> =
+        (0..count).map(|_| draw_planned(&mut rng, length, draw_fault)).collect();
     let count = rng.random_range(0..=4);
-    list.extend((0..count).map(|_| plan(&mut rng, length, life)));
+    schedule.extend((0..count).map(|_| draw_planned(&mut rng, length, draw_process_fault)));
     let count = rng.random_range(0..=4);
-    list.extend((0..count).map(|_| plan(&mut rng, length, notice)));
+    schedule.extend((0..count).map(|_| draw_planned(&mut rng, length, draw_notice)));
     let count = rng.random_range(0..=2);
-    list.extend((0..count).map(|_| limit(&mut rng, length)));
+    schedule.extend((0..count).map(|_| draw_limit(&mut rng, length)));
     let count = rng.random_range(0..=2);
-    list.extend((0..count).map(|_| plan(&mut rng, length, restore)));
+    schedule.extend((0..count).map(|_| draw_planned(&mut rng, length, store_restored)));
     let count = rng.random_range(0..=2);
-    list.extend((0..count).map(|_| plan(&mut rng, length, vanish)));
-    list.sort_by_key(|it| it.at);
-    list
+    schedule.extend((0..count).map(|_| draw_planned(&mut rng, length, replica_unlisted)));
+    schedule.sort_by_key(|it| it.at);
+    schedule
 }
