--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The fleet of a soak: it starts what runs, strikes it by the schedule, and
-//! remembers when it struck what.
+//! The fleet of the soak: starts all processes, injects the faults of a schedule, and records
+//! which components each fault affects and when.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -24,103 +24,106 @@
 use crate::soak::schedule::{Fault, PlannedFault};
 use crate::{keys, soak};
 
-/// Ranks of the group whose maps change meanwhile, and experts of a layer there.
+/// Ranks of the group whose expert maps change during the run, and experts of each layer.
 const RANKS: usize = 4;
-const EXPERTS: u64 = 8;
-/// Time between two shifts of demand there: about as long as a new map takes.
-const SHIFTS: Duration = Duration::from_millis(600);
-/// Body of a request that ends each replica that begins to run it, and the time after
-/// which its caller repeats it.
+const EXPERTS_PER_LAYER: u64 = 8;
+/// Interval between shifts of demand among the group's experts: about the time that a new map
+/// takes to come into force.
+const DEMAND_SHIFT_INTERVAL: Duration = Duration::from_millis(600);
+/// Body of a request that crashes each replica that starts to run it, and the interval at which
+/// its caller repeats it.
 pub const FATAL_BODY: &str = "ends whatever runs it";
-const REPEATS: Duration = Duration::from_millis(60);
-/// Time between two looks whether a replica has ended.
-const WATCHED: Duration = Duration::from_millis(2);
-/// Longest time that an entry may take to stop.
-const STOPS: Duration = Duration::from_secs(10);
-/// Seconds in which limits are counted by a schedule.
-const TEN_SECONDS: f64 = 10.0;
-/// Age of the copy from which the store is restored, in milliseconds, and the time after
-/// which what it lost is written again.
-const COPY_AGE: u64 = 1_500;
-const WRITTEN_AGAIN: Duration = Duration::from_millis(400);
-/// Time after a restore in which a line stays that nobody writes.
-const LEASE: Duration = Duration::from_secs(2);
-/// Time in which entries learn of a route before the store is struck.
-const KNOWN: Duration = Duration::from_millis(200);
-/// Replicas that stay listed at least.
-const LEAST: usize = 2;
-
-/// What was struck.
+const FATAL_REPEAT_INTERVAL: Duration = Duration::from_millis(60);
+/// Interval at which a thread checks whether a replica has ended.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Time within which an entry must exit after the request to shut down.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Seconds to which the limits in a schedule apply.
+const LIMIT_PERIOD_S: f64 = 10.0;
+/// Minimum age of the backup from which the store is restored, in milliseconds, and the delay
+/// after which operators and replicas rewrite the data that it lacks.
+const MIN_BACKUP_AGE_MS: u64 = 1_500;
+const REWRITE_DELAY: Duration = Duration::from_millis(400);
+/// Lease of instance list items after a restore: an item that no replica rewrites is removed
+/// after this time.
+const INSTANCE_LEASE: Duration = Duration::from_secs(2);
+/// Time for entries to read an added route before the store goes down.
+const ROUTE_SPREAD_TIME: Duration = Duration::from_millis(200);
+/// Replicas listed as ready above which a fault may take one away.
+const MIN_READY_REPLICAS: usize = 2;
+
+/// A component that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Component {
-    /// An entry, so that requests there may be lost.
+    /// An entry, by number: requests sent to it may be lost.
     Entry(usize),
-    /// A replica or the link to it.
+    /// A replica or the link to it, by the replica's number.
     Replica(usize),
     /// The store.
     Store,
 }
 
-/// Something struck, from when to when in milliseconds.
+/// Time in which a fault may affect a component.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultWindow {
-    /// What.
+    /// The affected component.
     pub component: Component,
-    /// From when.
+    /// Start, in milliseconds since the Unix epoch.
     pub from: u64,
-    /// To when.
+    /// End, in milliseconds since the Unix epoch; includes [`soak::judge::FAULT_GRACE_MS`].
     pub until: u64,
 }
 
-/// The fleet.
+/// All processes and simulated components of a run.
 #[derive(Debug)]
 pub struct Fleet {
     pub(super) site: Site,
     pub(super) group: Group,
     agents: Vec<Process>,
-    port: u16,
+    agent_port: u16,
     proxies: Vec<Process>,
     directory: Arc<Directory>,
-    /// Entries that take callers, by number.
-    alive: Vec<usize>,
-    /// Replicas that are listed as ready.
+    /// Numbers of the running entries that aren't shutting down.
+    running: Vec<usize>,
+    /// Numbers of the replicas that are listed as ready.
     ready: Vec<usize>,
-    /// Since when each entry runs.
-    pub(super) began: Vec<u64>,
+    /// Start time of each entry. Milliseconds since the Unix epoch.
+    pub(super) started_at: Vec<u64>,
     pub(super) fault_windows: Vec<FaultWindow>,
-    /// Replicas that leave, and since when.
+    /// Numbers of the replicas that were listed as draining or removed from the instance list
+    /// without notice, each with the time of that change.
     pub(super) leaving: Vec<(usize, u64)>,
-    /// Those of them that are still listed.
+    /// Numbers of the replicas that are still listed as draining.
     draining: Vec<usize>,
-    /// When each added route was declared, the first one first.
+    /// Time at which each added route was declared, in the order of the routes' numbers.
     pub(super) routes: Vec<u64>,
-    /// Copies of the store, the oldest first, with their times.
-    copies: Vec<(u64, keys::Copy)>,
+    /// Backups of the store with their times, the oldest first.
+    backups: Vec<(u64, keys::Copy)>,
     era: u64,
-    /// Entries that did not end in time after they were asked to stop.
-    pub(super) stuck: Vec<usize>,
+    /// Numbers of the entries that didn't exit within [`STOP_TIMEOUT`].
+    pub(super) stop_timeouts: Vec<usize>,
 }
 
 impl Fleet {
-    /// Starts everything and waits until entries know all replicas.
+    /// Starts all processes and waits until every entry can use all replicas and ranks.
     pub fn start(options: &Options) -> Self {
         let mut fleet = Self {
             site: Site::open(0),
             group: Group::spawn(RANKS),
             agents: Vec::new(),
-            port: ranks::free_port(RANKS),
+            agent_port: ranks::free_port(RANKS),
             proxies: Vec::new(),
             directory: Arc::default(),
-            alive: Vec::new(),
+            running: Vec::new(),
             ready: Vec::new(),
-            began: Vec::new(),
+            started_at: Vec::new(),
             fault_windows: Vec::new(),
             leaving: Vec::new(),
             draining: Vec::new(),
             routes: Vec::new(),
-            copies: Vec::new(),
+            backups: Vec::new(),
             era: 1,
-            stuck: Vec::new(),
+            stop_timeouts: Vec::new(),
         };
         fleet.site.configure(&fleet.configuration());
         fleet.list_ranks();
@@ -142,29 +145,32 @@
         }
     }
 
-    /// Changes the expert in demand all the time, so that maps change under every fault.
+    /// Starts a thread that keeps changing the most requested expert, so that expert maps change
+    /// during every fault.
     fn shift_demand(&self) {
         let group = self.group.clone();
         std::thread::spawn(move || {
             for hot in 0.. {
-                group.shift(hot % EXPERTS);
-                std::thread::sleep(SHIFTS);
+                group.shift(hot % EXPERTS_PER_LAYER);
+                std::thread::sleep(DEMAND_SHIFT_INTERVAL);
             }
         });
     }
 
-    /// What callers go by.
+    /// The directory that callers choose entries and routes from.
     pub fn directory(&self) -> Arc<Directory> {
         self.directory.clone()
     }
 
     fn configuration(&self) -> Value {
-        let mut it = site::configuration(1 + self.routes.len() as u64);
+        let mut document = site::configuration(1 + self.routes.len() as u64);
         let model = Group::configuration(1)["services"][0].clone();
-        let services = it["services"].as_array_mut().expect("services");
+        let services =
+            document["services"].as_array_mut().expect("configuration has no array `services`");
         services.push(model);
         services[1]["name"] = "model".into();
-        let routes = it["routes"].as_array_mut().expect("routes");
+        let routes =
+            document["routes"].as_array_mut().expect("configuration has no array `routes`");
         let safe = routes[1].clone();
         for number in 1..=self.routes.len() {
             let mut route = safe.clone();
@@ -172,27 +178,27 @@
             route["pathPrefix"] = json!(format!("/added-{number}/"));
             routes.push(route);
         }
-        it
+        document
     }
 
     fn add_entry(&mut self) {
-        let port = self.port;
+        let port = self.agent_port;
         let number = self.site.add_entry(&format!("agent_port = {port}"));
-        self.began.push(clock::now());
-        self.alive.push(number);
-        self.publish();
+        self.started_at.push(clock::now());
+        self.running.push(number);
+        self.update_directory();
     }
 
-    fn publish(&self) {
-        let known = self.alive.iter().map(|it| (*it, self.site.http(*it))).collect();
-        *self.directory.entries.lock().unwrap_or_else(PoisonError::into_inner) = known;
+    fn update_directory(&self) {
+        let entries = self.running.iter().map(|it| (*it, self.site.http(*it))).collect();
+        *self.directory.entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
     }
 
     fn add_replica(&mut self) {
         self.list_replica(&Replica::spawn("orders"));
     }
 
-    /// Lists a replica that has just started, behind a proxy.
+    /// Starts a proxy for a new replica and lists the replica at the proxy's address.
     fn list_replica(&mut self, replica: &Replica) {
         replica.end_on(FATAL_BODY);
         let to = replica.addr.to_string();
@@ -201,9 +207,10 @@
             "sablepass-stand",
             &["proxy", "--listen", any, "--control", any, "--to", &to],
         );
-        end_with(replica.clone(), proxy.id());
-        let addr: SocketAddr = proxy.addr("listen").parse().expect("an address");
-        // Entries know it by its proxy's address.
+        kill_proxy_with(replica.clone(), proxy.id());
+        let addr: SocketAddr =
+            proxy.addr("listen").parse().expect("proxy's listen address is invalid");
+        // Entries reach the replica only through its proxy.
         let listed = replica.at(addr);
         self.site.list(&listed, "ready");
         self.site.replicas.push(listed);
@@ -211,21 +218,21 @@
         self.ready.push(self.site.replicas.len() - 1);
     }
 
-    /// Starts replicas that have ended anew under their ids.
+    /// Restarts replicas that have ended, with the same ids.
     fn restart_replicas(&mut self) {
         let ended = |it: &usize| self.site.replicas[*it].ended();
         let (ended, ready) = std::mem::take(&mut self.ready).into_iter().partition(ended);
         self.ready = ready;
         let ended: Vec<usize> = ended;
-        for it in ended {
-            let next = self.site.replicas[it].reborn();
+        for index in ended {
+            let next = self.site.replicas[index].reborn();
             self.list_replica(&next);
         }
     }
 
-    /// Sends a request that ends what runs it to all entries, time after time.
-    fn send_fatal(&self, span: Duration) {
-        let addrs: Vec<String> = self.alive.iter().map(|it| self.site.http(*it)).collect();
+    /// Starts a thread that sends the fatal request to the running entries in turn for this time.
+    fn repeat_fatal_request(&self, span: Duration) {
+        let addrs: Vec<String> = self.running.iter().map(|it| self.site.http(*it)).collect();
         let until = Instant::now() + span;
         std::thread::spawn(move || {
             for (number, addr) in addrs.iter().cycle().enumerate() {
@@ -234,69 +241,71 @@
                 }
                 let id = format!("fatal-{}-{number}", clock::now());
                 site::ask("POST", "/stream/x", &id, FATAL_BODY).send(addr);
-                std::thread::sleep(REPEATS);
+                std::thread::sleep(FATAL_REPEAT_INTERVAL);
             }
         });
     }
 
     fn start_agent(&self, rank: usize) -> Process {
-        let at = SocketAddr::new(ranks::loopback(rank), self.port);
+        let at = SocketAddr::new(ranks::loopback(rank), self.agent_port);
         self.site.add_agent(at, self.group.addrs[rank])
     }
 
-    /// Pauses an entry for so long, without a note of it.
+    /// Suspends an entry for this time without recording a fault.
     pub fn pause_unrecorded(&self, entry: usize, span: Duration) {
         self.site.entries[entry].pause();
         std::thread::sleep(span);
         self.site.entries[entry].wake();
     }
 
-    /// Plays a schedule to its end.
+    /// Injects the faults of a schedule at their times and returns after the last one has ended.
     pub fn run_schedule(&mut self, plan: &[PlannedFault]) {
         let started = Instant::now();
-        // Numbers stay fixed from a fault's beginning to its end.
-        let mut turns: Vec<(u64, bool, usize)> = Vec::new();
+        // Start and end of each fault, by time. A fault ends at the component that it chose at its
+        // start, although the candidates may have changed since.
+        let mut events: Vec<(u64, bool, usize)> = Vec::new();
         for (number, it) in plan.iter().enumerate() {
-            turns.push((it.at, true, number));
-            turns.push((it.at + it.duration_ms, false, number));
+            events.push((it.at, true, number));
+            events.push((it.at + it.duration_ms, false, number));
         }
-        turns.sort_unstable();
-        let mut struck: Vec<Option<usize>> = vec![None; plan.len()];
-        for (at, begins, number) in turns {
-            self.copies.push((clock::now(), self.site.store.copy()));
+        events.sort_unstable();
+        let mut affected: Vec<Option<usize>> = vec![None; plan.len()];
+        for (at, starts, number) in events {
+            self.backups.push((clock::now(), self.site.store.copy()));
             let due = started + Duration::from_millis(at);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            if begins {
-                struck[number] = self.begin(&plan[number]);
-            } else if let Some(who) = struck[number] {
-                self.end(&plan[number], who);
+            if starts {
+                affected[number] = self.start_fault(&plan[number]);
+            } else if let Some(index) = affected[number] {
+                self.end_fault(&plan[number], index);
             }
         }
     }
 
-    /// Begins a fault. The number of what it strikes; none if there is nothing.
-    fn begin(&mut self, it: &PlannedFault) -> Option<usize> {
-        let of = |list: &[usize]| list.get(it.selector % list.len().max(1)).copied();
-        let entry = of(&self.alive);
+    /// Starts a fault. Returns the number of the affected component, or `None` if there is no
+    /// candidate or the fault has no end to process.
+    fn start_fault(&mut self, planned: &PlannedFault) -> Option<usize> {
+        let of = |list: &[usize]| list.get(planned.selector % list.len().max(1)).copied();
+        let entry = of(&self.running);
         let replica = of(&self.ready);
-        let rank = it.selector % RANKS;
-        match it.fault {
+        let rank = planned.selector % RANKS;
+        match planned.fault {
             Fault::EntryKilled => {
-                let who = entry?;
-                self.record_fault(Component::Entry(who), it);
-                self.site.entries[who].kill();
-                self.leave(who);
-                Some(who)
+                let index = entry?;
+                self.record_fault(Component::Entry(index), planned);
+                self.site.entries[index].kill();
+                self.remove_entry(index);
+                Some(index)
             }
             Fault::EntryPaused => {
-                self.record_fault(Component::Entry(entry?), it);
+                self.record_fault(Component::Entry(entry?), planned);
                 self.site.entries[entry?].pause();
                 entry
             }
             Fault::EntryStopped => {
-                // Callers go on to use it until it is gone.
+                // The directory keeps the entry, so that callers use it until it has exited.
                 self.site.entries[entry?].stop();
-                self.alive.retain(|it| Some(*it) != entry);
+                self.running.retain(|it| Some(*it) != entry);
                 entry
             }
             Fault::EntryReloaded => {
@@ -316,37 +325,37 @@
                 Some(rank)
             }
             Fault::ReplicaMode(mode) => {
-                self.record_fault(Component::Replica(replica?), it);
+                self.record_fault(Component::Replica(replica?), planned);
                 self.site.replicas[replica?].set(mode);
                 replica
             }
             Fault::ReplicaLeaves => {
-                let who = replica.filter(|_| self.ready.len() > LEAST)?;
-                self.site.list(&self.site.replicas[who], "draining");
-                self.leaving.push((who, clock::now()));
-                self.draining.push(who);
-                self.ready.retain(|it| *it != who);
-                Some(who)
+                let index = replica.filter(|_| self.ready.len() > MIN_READY_REPLICAS)?;
+                self.site.list(&self.site.replicas[index], "draining");
+                self.leaving.push((index, clock::now()));
+                self.draining.push(index);
+                self.ready.retain(|it| *it != index);
+                Some(index)
             }
             Fault::ReplicaSheds(rest) => {
                 self.site.replicas[replica?].set(replica::Mode::Shed(rest));
                 replica
             }
             Fault::ReplicaLimits(limit) => {
-                self.site.replicas[replica?].name_limit(Some(f64::from(limit) / TEN_SECONDS));
+                self.site.replicas[replica?].name_limit(Some(f64::from(limit) / LIMIT_PERIOD_S));
                 replica
             }
             Fault::ReplicaAnnouncesLeave => {
-                let who = replica.filter(|_| self.ready.len() > LEAST)?;
-                self.site.replicas[who].leave();
-                self.ready.retain(|it| *it != who);
-                Some(who)
+                let index = replica.filter(|_| self.ready.len() > MIN_READY_REPLICAS)?;
+                self.site.replicas[index].leave();
+                self.ready.retain(|it| *it != index);
+                Some(index)
             }
             Fault::ReplicaUnlisted => {
-                let who = replica.filter(|_| self.ready.len() > LEAST)?;
-                self.ready.retain(|it| *it != who);
-                self.site.store.remove(&format!("servers/{}", self.site.replicas[who].id));
-                self.leaving.push((who, clock::now()));
+                let index = replica.filter(|_| self.ready.len() > MIN_READY_REPLICAS)?;
+                self.ready.retain(|it| *it != index);
+                self.site.store.remove(&format!("servers/{}", self.site.replicas[index].id));
+                self.leaving.push((index, clock::now()));
                 None
             }
             Fault::ReplicaAdded => {
@@ -354,42 +363,43 @@
                 None
             }
             Fault::ReplicaRestarted => {
-                self.site.replicas[replica.filter(|_| self.ready.len() > LEAST)?].end();
+                self.site.replicas[replica.filter(|_| self.ready.len() > MIN_READY_REPLICAS)?]
+                    .end();
                 replica
             }
             Fault::ListItemCorrupted => {
-                let who = replica.filter(|_| self.ready.len() > LEAST)?;
-                let key = format!("servers/{}", self.site.replicas[who].id);
+                let index = replica.filter(|_| self.ready.len() > MIN_READY_REPLICAS)?;
+                let key = format!("servers/{}", self.site.replicas[index].id);
                 self.site.store.put_raw(&key, "no base64 !");
-                Some(who)
+                Some(index)
             }
             Fault::FatalRequest => {
-                self.send_fatal(Duration::from_millis(it.duration_ms));
+                self.repeat_fatal_request(Duration::from_millis(planned.duration_ms));
                 Some(0)
             }
             Fault::Link(link) => {
-                self.record_fault(Component::Replica(replica?), it);
-                self.link(replica?, link.command());
+                self.record_fault(Component::Replica(replica?), planned);
+                self.set_link(replica?, link.command());
                 replica
             }
             Fault::StoreMode(mode) => {
-                self.record_fault(Component::Store, it);
+                self.record_fault(Component::Store, planned);
                 self.site.store.set(mode);
                 Some(0)
             }
             Fault::StoreHistoryLost => {
-                self.record_fault(Component::Store, it);
+                self.record_fault(Component::Store, planned);
                 self.site.store.forget();
                 None
             }
             Fault::StoreRestored => {
-                // Entries know a route that the copy has not.
+                // Entries then have a route that the backup lacks.
                 self.add_route();
-                std::thread::sleep(KNOWN);
-                let writes = WRITTEN_AGAIN.as_millis() as u64;
+                std::thread::sleep(ROUTE_SPREAD_TIME);
+                let writes = REWRITE_DELAY.as_millis() as u64;
                 self.record_fault(
                     Component::Store,
-                    &PlannedFault { duration_ms: it.duration_ms + writes, ..*it },
+                    &PlannedFault { duration_ms: planned.duration_ms + writes, ..*planned },
                 );
                 self.site.store.set(keys::Mode::Down);
                 Some(0)
@@ -401,38 +411,38 @@
         }
     }
 
-    fn end(&mut self, it: &PlannedFault, who: usize) {
-        match it.fault {
+    fn end_fault(&mut self, planned: &PlannedFault, index: usize) {
+        match planned.fault {
             Fault::EntryKilled => self.add_entry(),
-            Fault::EntryPaused => self.site.entries[who].wake(),
+            Fault::EntryPaused => self.site.entries[index].wake(),
             Fault::EntryStopped => {
-                self.wait_for_end(who);
+                self.wait_for_exit(index);
                 self.add_entry();
             }
             Fault::AgentKilled => {
-                // A fault that overlaps may have started it again already.
-                self.agents[who].kill();
-                self.agents[who] = self.start_agent(who);
+                // An overlapping fault may have restarted the agent already.
+                self.agents[index].kill();
+                self.agents[index] = self.start_agent(index);
             }
-            Fault::AgentPaused => self.agents[who].wake(),
+            Fault::AgentPaused => self.agents[index].wake(),
             Fault::RankUnresponsive => self.group.deafen(None),
             Fault::ReplicaMode(_) | Fault::ReplicaSheds(_) => {
-                self.site.replicas[who].set(replica::Mode::Good)
+                self.site.replicas[index].set(replica::Mode::Good)
             }
-            Fault::ReplicaLimits(_) => self.site.replicas[who].name_limit(None),
+            Fault::ReplicaLimits(_) => self.site.replicas[index].name_limit(None),
             Fault::ReplicaLeaves | Fault::ReplicaAnnouncesLeave => {
-                self.draining.retain(|it| *it != who);
-                let id = self.site.replicas[who].id.clone();
+                self.draining.retain(|it| *it != index);
+                let id = self.site.replicas[index].id.clone();
                 self.site.store.remove(&format!("servers/{id}"));
             }
             Fault::ReplicaRestarted | Fault::FatalRequest => self.restart_replicas(),
             Fault::ListItemCorrupted => {
-                // It may have ended or left meanwhile.
-                if self.ready.contains(&who) {
-                    self.site.list(&self.site.replicas[who], "ready");
+                // The replica may have ended or left since the fault's start.
+                if self.ready.contains(&index) {
+                    self.site.list(&self.site.replicas[index], "ready");
                 }
             }
-            Fault::Link(_) => self.link(who, "pass"),
+            Fault::Link(_) => self.set_link(index, "pass"),
             Fault::StoreMode(_) => self.site.store.set(keys::Mode::Up),
             Fault::StoreRestored => self.restore(),
             Fault::EntryReloaded
@@ -449,82 +459,84 @@
         self.directory.routes.store(self.routes.len() as u64, Ordering::Relaxed);
     }
 
-    /// Restores the store from a copy. What it lost is written again a little later, and lines
-    /// of replicas that are gone lapse.
+    /// Restores the store from a backup with a new era. Rewrites the data that the backup lacks
+    /// after [`REWRITE_DELAY`]; items of replicas that have left expire.
     fn restore(&mut self) {
-        let old = |it: &&(u64, keys::Copy)| clock::now() >= it.0 + COPY_AGE;
-        let Some(copy) = self.copies.iter().rfind(old).or(self.copies.first()) else { return };
+        let old_enough = |it: &&(u64, keys::Copy)| clock::now() >= it.0 + MIN_BACKUP_AGE_MS;
+        let Some(backup) = self.backups.iter().rfind(old_enough).or(self.backups.first()) else {
+            return;
+        };
         self.era += 1;
-        self.site.store.restore(&copy.1, self.era);
+        self.site.store.restore(&backup.1, self.era);
         self.site.store.set(keys::Mode::Up);
-        std::thread::sleep(WRITTEN_AGAIN);
+        std::thread::sleep(REWRITE_DELAY);
         self.site.configure(&self.configuration());
         self.list_ranks();
-        for (who, it) in self.site.replicas.iter().enumerate() {
-            if self.ready.contains(&who) {
-                self.site.list(it, "ready");
-            } else if self.draining.contains(&who) {
-                self.site.list(it, "draining");
-            } else if !self.site.replicas[who + 1..].iter().any(|later| later.id == it.id) {
-                lapse(self.site.store.clone(), format!("servers/{}", it.id));
+        for (index, replica) in self.site.replicas.iter().enumerate() {
+            if self.ready.contains(&index) {
+                self.site.list(replica, "ready");
+            } else if self.draining.contains(&index) {
+                self.site.list(replica, "draining");
+            } else if !self.site.replicas[index + 1..].iter().any(|later| later.id == replica.id) {
+                remove_after_lease(self.site.store.clone(), format!("servers/{}", replica.id));
             }
         }
     }
 
-    fn wait_for_end(&mut self, who: usize) {
-        let until = Instant::now() + STOPS;
-        while !self.site.entries[who].ended() {
+    fn wait_for_exit(&mut self, index: usize) {
+        let until = Instant::now() + STOP_TIMEOUT;
+        while !self.site.entries[index].ended() {
             if Instant::now() >= until {
-                self.stuck.push(who);
-                self.site.entries[who].kill();
+                self.stop_timeouts.push(index);
+                self.site.entries[index].kill();
                 break;
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    fn leave(&mut self, who: usize) {
-        self.alive.retain(|it| *it != who);
-        self.publish();
+    fn remove_entry(&mut self, index: usize) {
+        self.running.retain(|it| *it != index);
+        self.update_directory();
     }
 
-    fn link(&self, who: usize, command: &str) {
-        if self.site.replicas[who].ended() {
+    fn set_link(&self, index: usize, command: &str) {
+        if self.site.replicas[index].ended() {
             return;
         }
-        client::control(&self.proxies[who].addr("control"), "POST", "/control", command);
+        client::control(&self.proxies[index].addr("control"), "POST", "/control", command);
     }
 
-    fn record_fault(&mut self, component: Component, it: &PlannedFault) {
+    fn record_fault(&mut self, component: Component, planned: &PlannedFault) {
         let from = clock::now();
         self.fault_windows.push(FaultWindow {
             component,
             from,
-            until: from + it.duration_ms + soak::judge::FAULT_GRACE_MS,
+            until: from + planned.duration_ms + soak::judge::FAULT_GRACE_MS,
         });
     }
 }
 
-/// Removes a line once its lease is over, unless it is written meanwhile: a replica may start
-/// anew under its id.
-fn lapse(store: keys::Store, key: String) {
+/// Removes an item of the instance list after its lease, unless it is written before then: a
+/// replica may restart with the same id.
+fn remove_after_lease(store: keys::Store, key: String) {
     let written = store.written(&key);
     std::thread::spawn(move || {
-        std::thread::sleep(LEASE);
+        std::thread::sleep(INSTANCE_LEASE);
         if store.written(&key) == written {
             store.remove(&key);
         }
     });
 }
 
-/// Ends a replica's proxy with it, so that its address refuses connections as the
-/// replica's own does.
-fn end_with(replica: Replica, proxy: u32) {
+/// Starts a thread that kills a replica's proxy once the replica has ended, so that the proxy's
+/// address refuses connections as the replica's own address does.
+fn kill_proxy_with(replica: Replica, proxy: u32) {
     std::thread::spawn(move || {
         while !replica.ended() {
-            std::thread::sleep(WATCHED);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
-        // The process may have ended already.
+        // An error means that the proxy has exited already.
         let _ = signal::kill(Pid::from_raw(proxy as i32), Signal::SIGKILL);
     });
 }
