--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What callers were told against what targets saw. It knows nothing of what
-//! the programs hold to be true.
+//! Checks of a soak run: compares what callers received with what targets recorded and reports
+//! violated guarantees. The checks don't use any state or status of the tested programs.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,64 +13,68 @@
 use crate::soak::callers::{Kind, Sample};
 use crate::soak::fleet::{Component, FATAL_BODY, FaultWindow, Fleet};
 
-/// Milliseconds after a strike in which its effects are still seen.
+/// Time after a fault in which its effects may still show, in milliseconds.
 pub const FAULT_GRACE_MS: u64 = 500;
-/// Milliseconds within which an acknowledged change is in force. As the users'
-/// platform has it, and half a second for a busy machine.
-const IN_FORCE: u64 = 2_500;
-/// Milliseconds for which a route of the stand-in's configuration holds a
-/// request, and the same half second with as much again to deliver it.
-const HELD: u64 = 3_000 + 1_000;
-/// Retries of all entries together: part of the requests, and more.
+/// Time within which an acknowledged change of the configuration or the instance list takes
+/// effect at every entry, in milliseconds: the platform's bound of 2 s, and 500 ms for a loaded
+/// machine.
+const IN_EFFECT_MS: u64 = 2_500;
+/// Longest time from sending a request to its answer, in milliseconds: the routes' `timeoutMs`,
+/// 500 ms for a loaded machine, and 500 ms to deliver the answer.
+const MAX_ANSWER_MS: u64 = 3_000 + 1_000;
+/// Retry budget of all entries together: retries per request, and a fixed allowance.
 const RETRY_RATIO: f64 = 0.2;
 const RETRY_SLACK: f64 = 90.0;
-/// Targets that one request may end: three, and three more on which it is on its way
-/// when the third one's end becomes known.
-const FATAL_RUNS: usize = 6;
-/// Requests that may reach a target besides while it rests, as the users' platform has it.
-const MOST_IN_REST: usize = 2;
-/// Time in which the group makes steps once all is well.
-const STEPS: Duration = Duration::from_millis(500);
+/// Targets that one request may crash: three, and three more to which the request is already in
+/// flight when entries learn of the third crash.
+const MAX_FATAL_RUNS: usize = 6;
+/// Requests from one entry that may still reach a target during a back-off that it asked for,
+/// as on the platform.
+const MAX_SENT_IN_BACKOFF: usize = 2;
+/// Time within which a healthy group completes at least one step.
+const STEP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A promise.
+/// A guarantee of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guarantee {
-    /// A request that must not repeat runs at most once.
+    /// A request that isn't safe to repeat runs at most once.
     AtMostOnce,
-    /// What was told not to have run has not and does not.
+    /// A request whose answer says that it was not run was not run and never runs.
     NotRun,
-    /// An answer is whole and the caller's own.
+    /// A successful answer is complete and belongs to the caller's request.
     AnswerIntegrity,
-    /// No new work reaches a replica that leaves.
+    /// No request starts on a replica that has been draining or unlisted for longer than a
+    /// change takes to come into effect.
     Drain,
-    /// What a target ran is answered where nothing struck its way.
+    /// A request that a target ran is answered if no fault affected its path.
     Answered,
-    /// A configuration is in force in its time, and never goes back.
+    /// A configuration comes into effect in time, and an entry never reverts to an earlier one.
     Configuration,
-    /// Retries of all entries stay within the common budget.
+    /// The retries of all entries stay within the common budget.
     RetryBudget,
-    /// Nothing is held past its time.
+    /// Every request is answered or refused within its time limit.
     Timeout,
-    /// All ranks use one map in every step, and the group goes on.
+    /// All ranks use the same expert map in every step, and the group continues to make steps.
     OneMap,
-    /// An entry that is asked to stop ends.
+    /// An entry that is asked to shut down exits in time.
     Shutdown,
-    /// A request that ends its targets is not sent on and on.
+    /// A request that crashes its targets is sent to a limited number of targets.
     FatalRequest,
-    /// A target is left alone for as long as it asks an entry.
+    /// An entry doesn't send to a target during the back-off that the target asked it for.
     Backoff,
-    /// A target that told an entry that it leaves gets nothing more from it.
+    /// An entry sends nothing more to a target that announced in an answer to it that it is
+    /// leaving.
     LeaveNotice,
-    /// A target gets no more than it takes from all entries together.
+    /// All entries together stay within the request limit that a target announced.
     Limit,
 }
 
-/// A promise that was broken, and by what.
+/// A violated guarantee with the observation that shows the violation.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which one.
+    /// The violated guarantee.
     pub guarantee: Guarantee,
-    /// What was seen.
+    /// Description of the observation.
     pub seen: String,
 }
 
@@ -80,69 +84,76 @@
     }
 }
 
-/// When and where a target began to run a request.
+/// A run of a request: the replica's number and the start time, in milliseconds since the Unix
+/// epoch.
 #[derive(Clone, Copy, Debug)]
-struct Begun {
+struct Run {
     replica: usize,
     at: u64,
 }
 
-/// All that a run showed.
+/// Records of callers and targets, and the faults that were injected.
 #[derive(Debug)]
 pub struct Observations {
-    /// What callers saw.
+    /// Requests and answers of all callers.
     pub samples: Vec<Sample>,
-    runs: HashMap<String, Vec<Begun>>,
+    runs: HashMap<String, Vec<Run>>,
     fault_windows: Vec<FaultWindow>,
-    /// Since when each entry runs.
-    began: Vec<u64>,
+    /// Start time of each entry. Milliseconds since the Unix epoch.
+    started_at: Vec<u64>,
+    /// Replicas that were listed as draining or unlisted, each with the time of that change.
     leaving: Vec<(usize, u64)>,
+    /// Declaration time of each added route, in the order of the routes' numbers.
     routes: Vec<u64>,
-    broken: Vec<u64>,
-    stands: bool,
-    stuck: Vec<usize>,
-    /// Runs of the request that ends targets.
-    fatal: usize,
-    /// What reached each replica, and its answers that said that it leaves.
+    /// Steps that started with different expert maps at different ranks.
+    split_steps: Vec<u64>,
+    /// Whether the group made no step within [`STEP_TIMEOUT`] after the last fault.
+    stalled: bool,
+    /// Entries that didn't exit in time after the request to shut down.
+    stop_timeouts: Vec<usize>,
+    /// Number of runs of the fatal request; each crashes its target.
+    fatal_runs: usize,
+    /// Requests that reached each replica, and the ids and times of its answers that announced
+    /// that it was leaving.
     arrivals: Vec<Vec<Arrival>>,
     notices: Vec<Vec<(String, u64)>>,
 }
 
 impl Observations {
-    /// Collects it from a fleet in which nothing is struck any more.
+    /// Collects the records of a fleet after all faults have ended.
     pub fn collect(fleet: &mut Fleet, samples: Vec<Sample>) -> Self {
         let before = fleet.group.progress().0;
-        std::thread::sleep(STEPS);
-        let mut runs: HashMap<String, Vec<Begun>> = HashMap::new();
+        std::thread::sleep(STEP_TIMEOUT);
+        let mut runs: HashMap<String, Vec<Run>> = HashMap::new();
         let mut fault_windows = fleet.fault_windows.clone();
-        let mut fatal = 0;
+        let mut fatal_runs = 0;
         for (replica, it) in fleet.site.replicas.iter().enumerate() {
             if let Some(at) = it.ended_at() {
                 let component = Component::Replica(replica);
                 fault_windows.push(FaultWindow { component, from: at, until: at + FAULT_GRACE_MS });
             }
-            fatal += it.runs().iter().filter(|it| it.body == FATAL_BODY.as_bytes()).count();
+            fatal_runs += it.runs().iter().filter(|it| it.body == FATAL_BODY.as_bytes()).count();
             for run in it.runs() {
-                runs.entry(run.id).or_default().push(Begun { replica, at: run.began });
+                runs.entry(run.id).or_default().push(Run { replica, at: run.began });
             }
         }
         Self {
             samples,
             runs,
             fault_windows,
-            fatal,
-            began: fleet.started_at.clone(),
+            fatal_runs,
+            started_at: fleet.started_at.clone(),
             leaving: fleet.leaving.clone(),
             routes: fleet.routes.clone(),
-            broken: fleet.group.broken(),
-            stands: fleet.group.progress().0 == before,
-            stuck: fleet.stop_timeouts.clone(),
+            split_steps: fleet.group.broken(),
+            stalled: fleet.group.progress().0 == before,
+            stop_timeouts: fleet.stop_timeouts.clone(),
             arrivals: fleet.site.replicas.iter().map(Replica::arrivals).collect(),
             notices: fleet.site.replicas.iter().map(Replica::notices).collect(),
         }
     }
 
-    fn runs(&self, id: &str) -> &[Begun] {
+    fn runs(&self, id: &str) -> &[Run] {
         self.runs.get(id).map_or(&[], Vec::as_slice)
     }
 
@@ -152,39 +163,55 @@
     }
 }
 
-/// All promises that were broken.
-pub fn check(it: &Observations) -> Vec<Violation> {
+/// Checks all guarantees and returns the violations.
+pub fn check(observed: &Observations) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for sample in &it.samples {
-        violations.extend(check_sample(it, sample));
+    for sample in &observed.samples {
+        violations.extend(check_sample(observed, sample));
     }
-    violations.extend(in_force(it));
-    violations.extend(budget(it));
-    let sent = it.samples.iter().map(|it| (it.id.as_str(), it)).collect();
-    violations.extend((0..it.arrivals.len()).filter_map(|replica| rest(it, &sent, replica)));
-    violations.extend((0..it.notices.len()).filter_map(|replica| told(it, &sent, replica)));
-    violations.extend((0..it.arrivals.len()).filter_map(|replica| limit(it, &sent, replica)));
-    if !it.broken.is_empty() {
-        let seen = format!("steps {:?} began on two maps", it.broken);
+    violations.extend(check_configuration(observed));
+    violations.extend(check_retry_budget(observed));
+    let sent = observed.samples.iter().map(|it| (it.id.as_str(), it)).collect();
+    violations.extend(
+        (0..observed.arrivals.len()).filter_map(|replica| check_backoff(observed, &sent, replica)),
+    );
+    violations.extend(
+        (0..observed.notices.len())
+            .filter_map(|replica| check_leave_notices(observed, &sent, replica)),
+    );
+    violations.extend(
+        (0..observed.arrivals.len()).filter_map(|replica| check_limit(observed, &sent, replica)),
+    );
+    if !observed.split_steps.is_empty() {
+        let seen = format!(
+            "steps {:?} started with different expert maps at different ranks",
+            observed.split_steps
+        );
         violations.push(Violation { guarantee: Guarantee::OneMap, seen });
     }
-    if it.stands {
-        let seen = "the group makes no steps at the end".to_owned();
+    if observed.stalled {
+        let seen = "the group makes no steps after the last fault".to_owned();
         violations.push(Violation { guarantee: Guarantee::OneMap, seen });
     }
-    if it.fatal > FATAL_RUNS {
-        let seen = format!("a request ended {} targets", it.fatal);
+    if observed.fatal_runs > MAX_FATAL_RUNS {
+        let seen = format!(
+            "a request crashed {} targets, at most {MAX_FATAL_RUNS} are allowed",
+            observed.fatal_runs
+        );
         violations.push(Violation { guarantee: Guarantee::FatalRequest, seen });
     }
-    if !it.stuck.is_empty() {
-        let seen = format!("entries {:?} did not end", it.stuck);
+    if !observed.stop_timeouts.is_empty() {
+        let seen = format!(
+            "entries {:?} did not exit in time after the request to shut down",
+            observed.stop_timeouts
+        );
         violations.push(Violation { guarantee: Guarantee::Shutdown, seen });
     }
     violations
 }
 
-fn check_sample(it: &Observations, sample: &Sample) -> Option<Violation> {
-    let runs = it.runs(&sample.id);
+fn check_sample(observed: &Observations, sample: &Sample) -> Option<Violation> {
+    let runs = observed.runs(&sample.id);
     let violation = |guarantee, what: &str| {
         let Sample { id, kind, entry, sent, ended, answer } = sample;
         let took = ended - sent;
@@ -194,28 +221,32 @@
     };
     let status = sample.answer.status;
     if sample.kind == Kind::Once && runs.len() > 1 {
-        return violation(Guarantee::AtMostOnce, "ran more than once");
+        return violation(Guarantee::AtMostOnce, "ran more than once although it must not repeat");
     }
     if matches!(status, 408 | 421 | 429 | 503) && !runs.is_empty() && sample.kind == Kind::Once {
-        return violation(Guarantee::NotRun, "told not to have run");
+        return violation(Guarantee::NotRun, "ran although the answer says that it was not run");
     }
     if status == 200 && sample.answer.body != expected(sample) {
-        return violation(Guarantee::AnswerIntegrity, "not the whole answer");
+        return violation(Guarantee::AnswerIntegrity, "answer is incomplete or altered");
     }
     if status == 200 && sample.answer.id != sample.id {
-        return violation(Guarantee::AnswerIntegrity, "another request's answer");
+        return violation(Guarantee::AnswerIntegrity, "answer belongs to another request");
     }
-    if let Some(run) = runs.iter().find(|run| came_late(it, sample, run)) {
-        return violation(Guarantee::Drain, &format!("sent to leaving replica {}", run.replica));
+    if let Some(run) = runs.iter().find(|run| started_after_leave(observed, sample, run)) {
+        return violation(Guarantee::Drain, &format!("started at leaving replica {}", run.replica));
     }
     let (from, until) = (sample.sent.saturating_sub(FAULT_GRACE_MS), sample.ended);
-    let entry = it.affected(Component::Entry(sample.entry), from, until);
-    let way = runs.iter().any(|run| it.affected(Component::Replica(run.replica), from, until));
-    if status == 0 && !runs.is_empty() && !entry && !way {
-        return violation(Guarantee::Answered, "ran and was not answered");
+    let entry = observed.affected(Component::Entry(sample.entry), from, until);
+    let path =
+        runs.iter().any(|run| observed.affected(Component::Replica(run.replica), from, until));
+    if status == 0 && !runs.is_empty() && !entry && !path {
+        return violation(
+            Guarantee::Answered,
+            "ran and was not answered although no fault affected its path",
+        );
     }
-    if sample.ended - sample.sent > HELD && !entry {
-        return violation(Guarantee::Timeout, "held past its time");
+    if sample.ended - sample.sent > MAX_ANSWER_MS && !entry {
+        return violation(Guarantee::Timeout, "not answered in time");
     }
     None
 }
@@ -228,50 +259,57 @@
     }
 }
 
-/// Whether a run began at a replica that had long said to be leaving, sent by an
-/// entry that could know. What it knew once it does not forget, whatever the store says.
-fn came_late(it: &Observations, sample: &Sample, run: &Begun) -> bool {
-    let leaving = it.leaving.iter().find(|left| left.0 == run.replica);
+/// Whether a run started at a replica that had been draining or unlisted for longer than
+/// [`IN_EFFECT_MS`], although its entry had the means to learn of it. Once an entry has read that
+/// a replica is leaving, later faults of the store are no excuse, since the entry must remember it.
+fn started_after_leave(observed: &Observations, sample: &Sample, run: &Run) -> bool {
+    let leaving = observed.leaving.iter().find(|left| left.0 == run.replica);
     leaving.is_some_and(|&(_, since)| {
-        let known = run.at.saturating_sub(IN_FORCE);
-        let began = it.began[sample.entry];
-        let told = !it.affected(Component::Store, since, run.at.min(since + IN_FORCE));
-        let started = since.max(began.saturating_sub(IN_FORCE));
-        let read =
-            began < since || !it.affected(Component::Store, started, run.at.min(began + IN_FORCE));
-        since < known
-            && told
+        let latest = run.at.saturating_sub(IN_EFFECT_MS);
+        let entry_started = observed.started_at[sample.entry];
+        let store_reachable =
+            !observed.affected(Component::Store, since, run.at.min(since + IN_EFFECT_MS));
+        let reading_since = since.max(entry_started.saturating_sub(IN_EFFECT_MS));
+        let read = entry_started < since
+            || !observed.affected(
+                Component::Store,
+                reading_since,
+                run.at.min(entry_started + IN_EFFECT_MS),
+            );
+        since < latest
+            && store_reachable
             && read
-            && !it.affected(Component::Entry(sample.entry), since, run.at)
-            && !it.affected(Component::Replica(run.replica), since, run.at)
+            && !observed.affected(Component::Entry(sample.entry), since, run.at)
+            && !observed.affected(Component::Replica(run.replica), since, run.at)
     })
 }
 
-/// Added routes are served where they are in force, and stay so at an entry.
-fn in_force(it: &Observations) -> Vec<Violation> {
+/// Checks that an added route is served once its configuration must be in effect, and that an
+/// entry that has served the route continues to do so.
+fn check_configuration(observed: &Observations) -> Vec<Violation> {
     let mut violations = Vec::new();
-    // By entry and route: when it was first seen to be served there.
-    let mut seen: HashMap<(usize, u64), u64> = HashMap::new();
-    let mut samples: Vec<&Sample> = it.samples.iter().collect();
+    // Time at which each entry was first observed to serve each route.
+    let mut first_served: HashMap<(usize, u64), u64> = HashMap::new();
+    let mut samples: Vec<&Sample> = observed.samples.iter().collect();
     samples.sort_by_key(|it| it.sent);
     for sample in samples {
         let Kind::Added(route) = sample.kind else { continue };
         let key = (sample.entry, route);
         if sample.answer.status != 404 {
             if sample.answer.status == 200 {
-                seen.entry(key).or_insert(sample.ended);
+                first_served.entry(key).or_insert(sample.ended);
             }
             continue;
         }
-        let since = it.routes[route as usize - 1];
-        let back = seen.get(&key).is_some_and(|first| sample.sent > *first);
-        let late = sample.sent > since.max(it.began[sample.entry]) + IN_FORCE
-            && !it.affected(Component::Store, since, sample.ended)
-            && !it.affected(Component::Entry(sample.entry), since, sample.ended);
-        if back || late {
+        let since = observed.routes[route as usize - 1];
+        let reverted = first_served.get(&key).is_some_and(|first| sample.sent > *first);
+        let late = sample.sent > since.max(observed.started_at[sample.entry]) + IN_EFFECT_MS
+            && !observed.affected(Component::Store, since, sample.ended)
+            && !observed.affected(Component::Entry(sample.entry), since, sample.ended);
+        if reverted || late {
             let after = sample.sent.saturating_sub(since);
             let seen = format!(
-                "route {route} unknown to entry {} after {after} ms, back {back}: {}",
+                "route {route} unknown to entry {} after {after} ms, served before: {reverted}: {}",
                 sample.entry, sample.id
             );
             violations.push(Violation { guarantee: Guarantee::Configuration, seen });
@@ -280,18 +318,19 @@
     violations
 }
 
-/// Samples by their name.
+/// Samples by request id.
 type Sent<'a> = HashMap<&'a str, &'a Sample>;
 
-/// What a replica asked of each entry that was not struck, nor the way between them.
-fn rest(it: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
+/// Checks that no entry sent more than [`MAX_SENT_IN_BACKOFF`] requests during a back-off that
+/// the replica asked for, unless a fault affected the entry, the replica or their link.
+fn check_backoff(observed: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
     let mut from: HashMap<usize, Vec<Arrival>> = HashMap::new();
-    for arrival in &it.arrivals[replica] {
-        // Those of the request that ends targets have no sample.
+    for arrival in &observed.arrivals[replica] {
+        // Arrivals of the fatal request have no sample.
         let Some(sample) = sent.get(arrival.id.as_str()) else { continue };
         let until = arrival.at + arrival.rest.unwrap_or(0);
-        let excused = it.affected(Component::Entry(sample.entry), arrival.at, until)
-            || it.affected(
+        let excused = observed.affected(Component::Entry(sample.entry), arrival.at, until)
+            || observed.affected(
                 Component::Replica(replica),
                 arrival.at.saturating_sub(FAULT_GRACE_MS),
                 until,
@@ -302,71 +341,86 @@
     }
     let worst =
         from.iter().map(|(entry, all)| (most_in_rest(all, FAULT_GRACE_MS), *entry)).max()?;
-    let seen = format!("{} from entry {} to resting replica {replica}", worst.0, worst.1);
-    (worst.0 > MOST_IN_REST).then_some(Violation { guarantee: Guarantee::Backoff, seen })
+    let seen = format!(
+        "{} requests from entry {} to replica {replica} during its back-off",
+        worst.0, worst.1
+    );
+    (worst.0 > MAX_SENT_IN_BACKOFF).then_some(Violation { guarantee: Guarantee::Backoff, seen })
 }
 
-/// Whether a replica got more than it takes, from entries that were not struck and that it
-/// had told.
-fn limit(it: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
-    let mut told: HashMap<usize, u64> = HashMap::new();
+/// Checks that the replica received no more than its announced limit allows. Counts requests
+/// from entries that the replica has announced the limit to, unless a fault affected the entry,
+/// the replica or their link since the announcement.
+fn check_limit(observed: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
+    let mut notified_at: HashMap<usize, u64> = HashMap::new();
     let mut counted = Vec::new();
-    for arrival in &it.arrivals[replica] {
+    for arrival in &observed.arrivals[replica] {
         let Some(sample) = sent.get(arrival.id.as_str()) else { continue };
         let Some(limit) = arrival.limit else {
-            told.clear();
+            notified_at.clear();
             continue;
         };
-        let told = *told.entry(sample.entry).or_insert(arrival.at);
-        let excused = it.affected(Component::Entry(sample.entry), told, arrival.at)
-            || it.affected(
+        let notified_at = *notified_at.entry(sample.entry).or_insert(arrival.at);
+        let excused = observed.affected(Component::Entry(sample.entry), notified_at, arrival.at)
+            || observed.affected(
                 Component::Replica(replica),
-                told.saturating_sub(FAULT_GRACE_MS),
+                notified_at.saturating_sub(FAULT_GRACE_MS),
                 arrival.at,
             );
-        if arrival.at > told + FAULT_GRACE_MS && !excused {
+        if arrival.at > notified_at + FAULT_GRACE_MS && !excused {
             counted.push((arrival.at, limit));
         }
     }
     counted.iter().find_map(|&(since, limit)| {
         let span = since..since + limits::SPAN;
         let same = |other: &&(u64, f64)| span.contains(&other.0) && other.1 == limit;
-        let most = counted.iter().filter(same).count();
-        let seen = format!("{most} in a span to replica {replica}, that takes {limit} a second");
-        let broken = most as f64 > limits::allowed(limit);
-        broken.then_some(Violation { guarantee: Guarantee::Limit, seen })
+        let count = counted.iter().filter(same).count();
+        let seen = format!(
+            "{count} requests in a span to replica {replica} with a limit of {limit} a second"
+        );
+        let exceeded = count as f64 > limits::allowed(limit);
+        exceeded.then_some(Violation { guarantee: Guarantee::Limit, seen })
     })
 }
 
-/// Whether an entry that a replica had told of its leaving sent it more.
-fn told(it: &Observations, sent: &Sent<'_>, replica: usize) -> Option<Violation> {
-    let mut known: HashMap<usize, u64> = HashMap::new();
-    for (id, at) in &it.notices[replica] {
+/// Checks that no entry sent a request to the replica after an answer to that entry announced
+/// that the replica was leaving.
+fn check_leave_notices(
+    observed: &Observations,
+    sent: &Sent<'_>,
+    replica: usize,
+) -> Option<Violation> {
+    let mut notified_at: HashMap<usize, u64> = HashMap::new();
+    for (id, at) in &observed.notices[replica] {
         let Some(sample) = sent.get(id.as_str()) else { continue };
-        let known = known.entry(sample.entry).or_insert(*at);
-        *known = (*at).min(*known);
+        let first = notified_at.entry(sample.entry).or_insert(*at);
+        *first = (*at).min(*first);
     }
-    let late = it.arrivals[replica].iter().find(|arrival| {
+    let late = observed.arrivals[replica].iter().find(|arrival| {
         let Some(sample) = sent.get(arrival.id.as_str()) else { return false };
-        let Some(at) = known.get(&sample.entry) else { return false };
+        let Some(at) = notified_at.get(&sample.entry) else { return false };
         sample.sent > at + FAULT_GRACE_MS
-            && !it.affected(Component::Entry(sample.entry), *at, arrival.at)
-            && !it.affected(
+            && !observed.affected(Component::Entry(sample.entry), *at, arrival.at)
+            && !observed.affected(
                 Component::Replica(replica),
                 at.saturating_sub(FAULT_GRACE_MS),
                 arrival.at,
             )
     });
     late.map(|arrival| {
-        let seen = format!("{} sent to replica {replica}, which had said it leaves", arrival.id);
+        let seen = format!(
+            "{} sent to replica {replica} after it announced that it was leaving",
+            arrival.id
+        );
         Violation { guarantee: Guarantee::LeaveNotice, seen }
     })
 }
 
-/// A run lasts less than a window of the budget, so that all of it is one.
-fn budget(it: &Observations) -> Option<Violation> {
-    let runs: usize = it.runs.values().map(|it| it.len() - 1).sum();
-    let most = it.samples.len() as f64 * RETRY_RATIO + RETRY_SLACK;
-    let seen = format!("{runs} runs beyond the first of each, {most:.0} are allowed");
-    (runs as f64 > most).then_some(Violation { guarantee: Guarantee::RetryBudget, seen })
+/// Checks the common retry budget. A run of the soak is shorter than a window of the budget, so
+/// that the whole run counts as one window.
+fn check_retry_budget(observed: &Observations) -> Option<Violation> {
+    let repeats: usize = observed.runs.values().map(|it| it.len() - 1).sum();
+    let allowed = observed.samples.len() as f64 * RETRY_RATIO + RETRY_SLACK;
+    let seen = format!("{repeats} repeated runs, {allowed:.0} are allowed");
+    (repeats as f64 > allowed).then_some(Violation { guarantee: Guarantee::RetryBudget, seen })
 }
