--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -49,7 +49,7 @@
 const INSTANCE_LEASE: Duration = Duration::from_secs(2);
 /// Time for entries to read an added route before the store goes down.
 const ROUTE_SPREAD_TIME: Duration = Duration::from_millis(200);
-/// Replicas listed as ready above which a fault may take one away.
+/// Faults that take a replica away are skipped while no more than this many are ready.
 const MIN_READY_REPLICAS: usize = 2;
 
 /// A component that a fault affects.
@@ -462,10 +462,8 @@
     /// Restores the store from a backup with a new era. Rewrites the data that the backup lacks
     /// after [`REWRITE_DELAY`]; items of replicas that have left expire.
     fn restore(&mut self) {
-        let old_enough = |it: &&(u64, keys::Copy)| clock::now() >= it.0 + MIN_BACKUP_AGE_MS;
-        let Some(backup) = self.backups.iter().rfind(old_enough).or(self.backups.first()) else {
-            return;
-        };
+        let old = |it: &&(u64, keys::Copy)| clock::now() >= it.0 + MIN_BACKUP_AGE_MS;
+        let Some(backup) = self.backups.iter().rfind(old).or(self.backups.first()) else { return };
         self.era += 1;
         self.site.store.restore(&backup.1, self.era);
         self.site.store.set(keys::Mode::Up);
