--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -40,8 +40,8 @@
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 /// Seconds to which the limits in a schedule apply.
 const LIMIT_PERIOD_S: f64 = 10.0;
-/// Minimum age of the backup from which the store is restored, in milliseconds, and the delay
-/// after which operators and replicas rewrite the data that it lacks.
+/// The store is restored from the newest backup that is at least this old, in milliseconds, or
+/// from the oldest backup; and the delay after which the data that the backup lacks is rewritten.
 const MIN_BACKUP_AGE_MS: u64 = 1_500;
 const REWRITE_DELAY: Duration = Duration::from_millis(400);
 /// Lease of instance list items after a restore: an item that no replica rewrites is removed
