--- a/crates/sablepass-stand/src/client.rs
+++ b/crates/sablepass-stand/src/client.rs
@@ -1,42 +1,43 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A caller: sends requests and keeps what it was told.
+//! HTTP client of tests and the demo: sends requests and records the responses. It also reads
+//! status pages and metrics.
 
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
 
-/// Longest wait for anything.
+/// Timeout of connecting, of each read, and of [`wait_for`].
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An answer.
+/// A response, or its absence.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// HTTP status; 0 if there was no answer.
+    /// HTTP status; 0 if there was no response or it broke off.
     pub status: u16,
-    /// The request's name.
+    /// Request id, from the `x-request-id` header.
     pub id: String,
-    /// Whether it ran.
+    /// Whether the request ran, from the `x-sablepass-ran` header.
     pub ran: String,
-    /// Seconds after which to come back, as text.
+    /// The `retry-after` header: seconds until a retry, as text.
     pub retry_after: String,
-    /// Whether it is a recorded answer.
+    /// Whether the response was recorded by an earlier request with the same idempotency key.
     pub replayed: bool,
-    /// Names of all header fields, in lower case.
+    /// Names of all headers, in lower case.
     pub fields: Vec<String>,
-    /// Body.
+    /// Body, as far as it was received.
     pub body: String,
 }
 
 impl Answer {
-    /// The body as JSON.
+    /// The body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The text of a completion, streamed or not.
+    /// The text of a completion, whether streamed or not.
     pub fn text(&self) -> String {
         if !self.body.starts_with("data:") && !self.body.starts_with(':') {
             let json = self.json();
@@ -53,12 +54,12 @@
         texts.collect()
     }
 
-    /// Whether a stream came to its end.
+    /// Whether the body has the end marker of a stream.
     pub fn done(&self) -> bool {
         self.body.contains("data: [DONE]")
     }
 
-    /// The reason of a failure, streamed or not.
+    /// The error code of a failure, whether streamed or not; empty if there is none.
     pub fn reason(&self) -> String {
         let events = self.body.lines().filter_map(|it| it.strip_prefix("data: "));
         let last = events.filter_map(|it| serde_json::from_str::<Value>(it).ok()).next_back();
@@ -67,7 +68,7 @@
     }
 }
 
-/// A request to be sent.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// Method.
@@ -81,7 +82,7 @@
 }
 
 impl Ask {
-    /// A chat completion whose answer is `tokens` times `word`.
+    /// A chat completion for which the stand-in engine generates `tokens` tokens from `word`.
     pub fn chat(key: &str, model: &str, word: &str, tokens: u64, stream: bool) -> Self {
         let body = json!({
             "model": model, "stream": stream, "max_tokens": tokens,
@@ -90,7 +91,7 @@
         Self::post(key, "/v1/chat/completions", &body.to_string())
     }
 
-    /// A POST.
+    /// A POST request with a JSON body and the customer's key.
     pub fn post(key: &str, path: &str, body: &str) -> Self {
         let ask = Self {
             method: "POST".to_owned(),
@@ -107,31 +108,32 @@
         self
     }
 
-    /// Marks it as not to run more than once, under a key if one is given.
+    /// Marks the request as unsafe to run more than once, with an idempotency key unless `key`
+    /// is empty.
     pub fn only_once(self, key: &str) -> Self {
         let ask = self.with("x-sablepass-unsafe", "true");
         if key.is_empty() { ask } else { ask.with("idempotency-key", key) }
     }
 
-    /// Sends it and waits for the whole answer.
+    /// Sends the request on a new connection and waits for the whole response.
     pub fn send(&self, addr: &str) -> Answer {
         self.send_with(addr, |_| {})
     }
 
-    /// Sends it; `on_line` sees each line of the answer when it arrives.
+    /// Like [`Self::send`]; calls `on_line` with each line of the body when it arrives.
     pub fn send_with(&self, addr: &str, on_line: impl FnMut(&str)) -> Answer {
         Caller::open().exchange(self, addr, on_line)
     }
 }
 
-/// A caller that keeps its connections.
+/// A client that reuses its connections.
 #[derive(Debug)]
 pub struct Caller {
     agent: ureq::Agent,
 }
 
 impl Caller {
-    /// A caller without a connection.
+    /// Creates a client without open connections.
     pub fn open() -> Self {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -141,7 +143,7 @@
         Self { agent: config.into() }
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the whole response.
     pub fn send(&self, ask: &Ask, addr: &str) -> Answer {
         self.exchange(ask, addr, |_| {})
     }
@@ -194,7 +196,7 @@
     }
 }
 
-/// Calls a control or status interface.
+/// Calls a control or status interface; returns the body as JSON.
 pub fn control(addr: &str, method: &str, path: &str, body: &str) -> Value {
     let ask = Ask {
         method: method.to_owned(),
@@ -205,7 +207,7 @@
     ask.send(addr).json()
 }
 
-/// A counter or gauge in `/metrics`, summed over labels that contain `label`.
+/// Sum of the lines of `/metrics` that start with `name` and contain `label`.
 pub fn metric(admin: &str, name: &str, label: &str) -> f64 {
     let ask = Ask {
         method: "GET".into(),
@@ -218,11 +220,11 @@
     lines.filter_map(|it| it.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-/// Waits until something holds; panics with its name when it does not come true.
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < until, "waited in vain for: {what}");
+/// Polls a condition until it is true; panics with `what` after `TIMEOUT`.
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out after {TIMEOUT:?} waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
