--- a/crates/sablepass-stand/src/beside.rs
+++ b/crates/sablepass-stand/src/beside.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A site whose targets have machines of their own, with an agent on each.
+//! A [`Site`] for tests in which each replica has a loopback address of its own, as on a
+//! separate machine, and an agent beside it.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -11,19 +12,20 @@
 use crate::replica::Replica;
 use crate::site::Site;
 
-/// The site with its agents, which end when it is dropped.
+/// A site with its agents. All processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Beside {
-    /// The site, with one entry.
+    /// The site; it has one entry at first.
     pub site: Site,
-    /// An agent for each replica.
+    /// Agents, one for each replica and in the same order.
     pub agents: Vec<Process>,
-    /// What entries have in their settings besides.
+    /// Additional settings lines of entries: the port of the agents.
     pub more: String,
 }
 
 impl Beside {
-    /// Starts so many machines, and an entry that has heard all their agents.
+    /// Starts `machines` replicas with their agents, and an entry; returns when the entry has
+    /// received the reports of all agents.
     pub fn spawn(machines: usize) -> Self {
         let mut site = Site::open(0);
         let machines: Vec<IpAddr> = (0..machines).map(|_| ranks::machine()).collect();
@@ -35,22 +37,23 @@
         let port = ranks::free_port_at(&machines);
         site.configure(&ranks::Group::configuration(2));
         let more = format!("agent_port = {port}");
-        let mut it = Self { site, agents: Vec::new(), more };
-        let entry = it.site.add_entry(&it.more);
-        let addrs: Vec<SocketAddr> = it.site.replicas.iter().map(|it| it.addr).collect();
-        let beside = |at: SocketAddr| it.site.add_agent(SocketAddr::new(at.ip(), port), at);
-        it.agents = addrs.into_iter().map(beside).collect();
-        it.site.settle(machines.len());
-        it.wait_for_agents(entry);
-        it
+        let mut started = Self { site, agents: Vec::new(), more };
+        let entry = started.site.add_entry(&started.more);
+        let addrs: Vec<SocketAddr> = started.site.replicas.iter().map(|it| it.addr).collect();
+        let start_agent =
+            |target: SocketAddr| started.site.add_agent(SocketAddr::new(target.ip(), port), target);
+        started.agents = addrs.into_iter().map(start_agent).collect();
+        started.site.settle(machines.len());
+        started.wait_for_agents(entry);
+        started
     }
 
-    /// Waits until an entry has heard all agents.
+    /// Waits until an entry has received, on average, more than three reports of each agent.
     pub fn wait_for_agents(&self, entry: usize) {
         let admin = self.site.entries[entry].addr("admin");
-        let most = 3.0 * self.agents.len() as f64;
-        wait_for("all agents tell", || {
-            metric(&admin, "sablepass_link_messages_total", "kind=\"report\"") > most
+        let reports = 3.0 * self.agents.len() as f64;
+        wait_for("reports of all agents", || {
+            metric(&admin, "sablepass_link_messages_total", "kind=\"report\"") > reports
         });
     }
 }
