--- a/crates/sablepass-stand/src/demo.rs
+++ b/crates/sablepass-stand/src/demo.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The demo: a small fleet on free loopback ports, what its callers get, and
-//! whether that is what was promised.
+//! The demo: starts a small fleet on free loopback ports, sends requests, and checks the
+//! responses.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -18,7 +18,7 @@
 
 const FARM: &str = "tatranska:demo-key-build-farm";
 const BAKER: &str = "masa:demo-key-obrador";
-/// Callers under load during the planned stop.
+/// Callers that send requests concurrently during the planned stop.
 const CALLERS: usize = 6;
 
 const TATRANSKA: &str = r#"
@@ -57,17 +57,17 @@
 share = 5
 "#;
 
-/// What was checked, and whether it held.
+/// Prints the result of each check and counts the failed ones.
 #[derive(Default)]
 struct Report {
     broken: usize,
 }
 
 impl Report {
-    fn check(&mut self, what: &str, holds: bool, seen: &str) {
-        let mark = if holds { "ok    " } else { "BROKEN" };
-        println!("{mark} {what}: {seen}");
-        self.broken += usize::from(!holds);
+    fn check(&mut self, what: &str, passed: bool, observed: &str) {
+        let mark = if passed { "ok    " } else { "BROKEN" };
+        println!("{mark} {what}: {observed}");
+        self.broken += usize::from(!passed);
     }
 }
 
@@ -85,7 +85,7 @@
     fleet
 }
 
-/// Runs the demo; with `hold`, leaves the fleet running until a signal.
+/// Runs the checks; with `hold`, leaves the fleet running until a signal instead.
 pub fn run(hold: bool) -> Result<(), Error> {
     let fleet = start();
     if hold {
@@ -98,14 +98,15 @@
     counters(&fleet);
     match report.broken {
         0 => {
-            println!("\nall was as promised");
+            println!("\nall checks passed");
             Ok(())
         }
         broken => Err(Error::Broken { broken }),
     }
 }
 
-fn short(answer: &Answer) -> String {
+/// Status, run marker and the start of the body.
+fn summary(answer: &Answer) -> String {
     let text = answer.text();
     let shown = if text.is_empty() { answer.body.trim() } else { &text };
     let shown: String = shown.chars().take(90).collect();
@@ -115,32 +116,40 @@
 fn completions(fleet: &Fleet, report: &mut Report) {
     let whole = Ask::chat(FARM, "triage", "spruce", 4, false).send(&fleet.http(0));
     let expected = "spruce:0 spruce:1 spruce:2 spruce:3 ";
-    report.check("a completion", whole.text() == expected, &short(&whole));
+    report.check("a completion", whole.text() == expected, &summary(&whole));
     let stream = Ask::chat(BAKER, "orders", "centeno", 4, true).send(&fleet.http(1));
     let expected = "centeno:0 centeno:1 centeno:2 centeno:3 ";
-    report.check("a streamed one", stream.text() == expected && stream.done(), &short(&stream));
+    report.check(
+        "a streamed completion",
+        stream.text() == expected && stream.done(),
+        &summary(&stream),
+    );
     let call = Ask::post(FARM, "/services/claims/free", "builder 9?").send(&fleet.http(0));
-    report.check("a service call", call.json()["echo"] == "builder 9?", &short(&call));
+    report.check("a service call", call.json()["echo"] == "builder 9?", &summary(&call));
     let foreign = Ask::chat(BAKER, "tatranska/triage", "x", 1, false).send(&fleet.http(0));
     let refused = foreign.status == 403 && foreign.ran == "not-run";
-    report.check("a model not granted", refused, &short(&foreign));
+    report.check("a model that is not granted to the customer", refused, &summary(&foreign));
 }
 
 fn order_twice(fleet: &Fleet, report: &mut Report) {
-    let made = clock::now() + 300;
-    wait_for("the key's time", || clock::now() > made);
+    let issued = clock::now() + 300;
+    wait_for("the issue time of the key", || clock::now() > issued);
     let order = |entry: usize| {
         let ask = Ask::post(FARM, "/services/claims/claim", "claim builder 9");
-        let ask = ask.only_once("claim-1").with("x-sablepass-key-issued", &made.to_string());
+        let ask = ask.only_once("claim-1").with("x-sablepass-key-issued", &issued.to_string());
         ask.send(&fleet.http(entry))
     };
     let (first, second) = (order(0), order(1));
     let runs = fleet.targets[2].runs();
     let runs = runs.iter().filter(|it| it["body"] == "claim builder 9").count();
-    report.check("an unsafe claim", first.status == 200, &short(&first));
+    report.check("an unsafe service call", first.status == 200, &summary(&first));
     let again = second.replayed && second.body == first.body;
-    report.check("the same claim posted again", again, &short(&second));
-    report.check("it ran once", runs == 1, &format!("{runs} runs in the service's log"));
+    report.check("the same call repeated at another entry", again, &summary(&second));
+    report.check(
+        "the repeated call ran once",
+        runs == 1,
+        &format!("{runs} runs in the log of the service"),
+    );
 }
 
 fn planned_stop(fleet: &Fleet, report: &mut Report) {
@@ -162,7 +171,7 @@
                 }
             });
         }
-        wait_for("the target drains", || {
+        wait_for("the stopped target to drain", || {
             let status = control(&target.agent.addr("admin"), "GET", "/status", "");
             status["drained"].as_bool() == Some(true)
         });
@@ -174,14 +183,16 @@
         let expected: String = (0..30).map(|it| format!("{word}:{it} ")).collect();
         it.done() && it.text() == expected
     };
-    let good = all.iter().filter(whole).count();
-    let seen =
-        format!("{good} of {} streams whole, {runs} of them at the stopped target", all.len());
-    report.check("a planned stop under load", good == all.len() && runs > 0, &seen);
+    let complete = all.iter().filter(whole).count();
+    let observed = format!(
+        "{complete} of {} streams complete, {runs} of them run by the stopped target",
+        all.len()
+    );
+    report.check("a planned stop under load", complete == all.len() && runs > 0, &observed);
 }
 
 fn counters(fleet: &Fleet) {
-    println!("\ncounters that are not 0:");
+    println!("\nnonzero counters:");
     for (name, entry) in &fleet.entries {
         let ask = Ask { method: "GET".into(), ..Ask::post("", "/metrics", "") };
         let text = ask.send(&entry.addr("admin")).body;
@@ -215,9 +226,9 @@
     );
     println!("  curl http://{}/v1/models -H 'authorization: Bearer {BAKER}'", fleet.http(1));
     println!("  target/debug/sablepassctl status -p {} -p {}", fleet.admin(0), fleet.admin(1));
-    println!("\nCtrl-C stops it");
+    println!("\nCtrl-C stops the fleet");
     let mut signals = Signals::new([SIGINT, SIGTERM]).map_err(|source| Error::Socket { source })?;
-    // Waits for one signal; the fleet ends when it is dropped.
+    // Waits for one signal. The caller then drops the fleet, which kills its processes.
     let _ = signals.forever().next();
     Ok(())
 }
