--- a/crates/sablepass-stand/src/engine.rs
+++ b/crates/sablepass-stand/src/engine.rs
@@ -2,14 +2,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Stand-in for a model engine: continuous batching in steps, a limited
-//! cache of prompt prefixes, priorities, cancel, and a run log.
+//! cache of prompt prefixes, priorities, cancellation, and a run log.
 //!
-//! An answer's tokens are `WORD:0 WORD:1 ...`, where WORD is the last word of
-//! the prompt, so that a caller can tell its own answer. `POST
-//! /control/mode` takes `ok`, `freeze` (no steps), `busy` (503 to new
-//! requests), `rest N` (the same, and it asks for a rest of N milliseconds), `break N` (close each stream after N tokens) or `hold N` (make
-//! N tokens of each answer and no more until told otherwise). `POST /control/limit`
-//! takes the requests a second that its answers name as its limit, or `none`.
+//! The tokens of a response are `WORD:0 WORD:1 ...`, where WORD is the last word of the prompt,
+//! so that a caller recognizes the response to its own request.
+//!
+//! `POST /control/mode` takes one of:
+//!
+//! - `ok`;
+//! - `freeze`: no steps;
+//! - `busy`: 503 to new requests;
+//! - `rest N`: the same, with a `retry-after` header of N milliseconds;
+//! - `break N`: break off each response after N tokens;
+//! - `hold N`: stop each response at N tokens until the mode changes.
+//!
+//! `POST /control/limit` takes the requests per second that responses announce as the limit of
+//! the engine, or `none`. `POST /control/batch` takes the maximum number of sequences in a
+//! step. `GET /control/runs`, `/control/turned` and `/control/cache` return the run log, the
+//! times of refusals in mode `rest`, and the counts of cache hits and runs.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,21 +34,21 @@
 
 use crate::{Error, web};
 
-/// Characters of a prompt that are cached as its prefix.
-const PREFIX: usize = 256;
-/// Tokens of an answer when the request does not say.
-const TOKENS: u64 = 16;
+/// Length of the prompt prefix that is cached, in characters.
+const PREFIX_CHARS: usize = 256;
+/// Tokens of a response if the request has no `max_tokens`.
+const DEFAULT_MAX_TOKENS: u64 = 16;
 
-/// Size and speed.
+/// Size and speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Milliseconds of a step.
+    /// Duration of a step, in milliseconds.
     pub step: u64,
-    /// Sequences of a step.
+    /// Maximum sequences in a step.
     pub batch: usize,
-    /// Steps of a prompt that is not cached; a cached one takes one.
+    /// Prefill steps of a prompt that is not cached; a cached one takes one step.
     pub prefill: u64,
-    /// Prefixes cached.
+    /// Capacity of the prefix cache, in prefixes.
     pub cache: usize,
 }
 
@@ -53,30 +63,40 @@
 }
 
 struct Sequence {
+    /// Request id.
     id: String,
+    /// Index in the run log.
     run: usize,
     priority: u64,
+    /// Remaining prefill steps.
     prefill: u64,
-    made: u64,
-    wanted: u64,
-    out: mpsc::Sender<u64>,
+    /// Tokens generated so far.
+    generated: u64,
+    /// Tokens to generate.
+    requested: u64,
+    /// Sends the index of each token to the thread that responds.
+    token_sender: mpsc::Sender<u64>,
 }
 
 struct State {
     mode: Mode,
-    /// What its answers name as the requests a second that it takes.
+    /// Requests per second that responses announce as the limit.
     limit: Option<f64>,
+    /// Maximum sequences in a step.
     batch: usize,
     running: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
+    /// Cached prefixes, the least recently used first.
     cached: VecDeque<String>,
+    /// Cache hits.
     hits: u64,
+    /// Run log.
     runs: Vec<Value>,
-    /// When it turned requests away and asked for a rest. Milliseconds since the Unix epoch.
-    turned: Vec<u64>,
+    /// Times of refusals in mode `rest`, in milliseconds since the Unix epoch.
+    refused_at: Vec<u64>,
 }
 
-/// An engine.
+/// An engine, stepped by its owner.
 pub struct Engine {
     options: Options,
     state: Mutex<State>,
@@ -89,7 +109,7 @@
 }
 
 impl Engine {
-    /// Opens an engine that does nothing until it is stepped.
+    /// Creates an engine; it generates tokens only in calls of [`Self::step`].
     pub fn open(options: Options) -> Arc<Self> {
         let state = State {
             mode: Mode::Ok,
@@ -100,17 +120,17 @@
             cached: VecDeque::new(),
             hits: 0,
             runs: Vec::new(),
-            turned: Vec::new(),
+            refused_at: Vec::new(),
         };
         Arc::new(Self { options, state: Mutex::new(state) })
     }
 
-    /// Whether an answer is to break off before this token.
+    /// Whether the mode breaks responses off before this token.
     fn breaks_at(&self, token: u64) -> bool {
         matches!(self.lock().mode, Mode::Break(it) if token >= it)
     }
 
-    /// Makes one step, unless it is frozen.
+    /// Makes one step, unless the engine is in mode `freeze`.
     pub fn step(&self) {
         let mut state = self.lock();
         if state.mode != Mode::Freeze {
@@ -119,7 +139,7 @@
     }
 }
 
-/// Runs the stand-in.
+/// Runs the stand-in: one engine, stepped at a fixed interval.
 pub fn run(addr: SocketAddr, options: Options) -> Result<(), Error> {
     let engine = Engine::open(options);
     let stepper = engine.clone();
@@ -143,40 +163,41 @@
 impl State {
     fn step(&mut self) {
         while self.running.len() < self.batch {
-            let Some(best) = self.best_waiting() else {
+            let Some(next) = self.next_waiting() else {
                 break;
             };
-            self.running.extend(self.waiting.remove(best));
+            self.running.extend(self.waiting.remove(next));
         }
         let mode = self.mode;
         let runs = &mut self.runs;
         self.running.retain_mut(|it| {
-            if mode == Mode::Hold(it.made) {
+            if mode == Mode::Hold(it.generated) {
                 return true;
             }
             if it.prefill > 0 {
                 it.prefill -= 1;
                 return true;
             }
-            let heard = it.out.send(it.made).is_ok();
-            it.made += 1;
-            runs[it.run]["tokens"] = it.made.into();
-            let done = it.made >= it.wanted;
-            if !heard {
+            let received = it.token_sender.send(it.generated).is_ok();
+            it.generated += 1;
+            runs[it.run]["tokens"] = it.generated.into();
+            let done = it.generated >= it.requested;
+            if !received {
                 runs[it.run]["end"] = "gone".into();
             } else if done {
                 runs[it.run]["end"] = "done".into();
             }
-            heard && !done
+            received && !done
         });
     }
 
-    /// The oldest of the highest priority.
-    fn best_waiting(&self) -> Option<usize> {
+    /// Index of the oldest waiting sequence of the highest priority.
+    fn next_waiting(&self) -> Option<usize> {
         let rank = |(index, it): &(usize, &Sequence)| (it.priority, std::cmp::Reverse(*index));
         self.waiting.iter().enumerate().max_by_key(rank).map(|it| it.0)
     }
 
+    /// Ends the sequences of a request id.
     fn cancel(&mut self, id: &str) {
         for it in self.running.iter().chain(&self.waiting).filter(|it| it.id == id) {
             self.runs[it.run]["end"] = "cancelled".into();
@@ -185,22 +206,23 @@
         self.waiting.retain(|it| it.id != id);
     }
 
-    /// Whether the prefix is cached; it is from now on.
-    fn cache(&mut self, prefix: String, size: usize) -> bool {
+    /// Adds the prefix to the cache as the most recently used one. Returns whether it was cached
+    /// before.
+    fn cache(&mut self, prefix: String, capacity: usize) -> bool {
         let found = self.cached.iter().position(|it| *it == prefix);
         if let Some(at) = found {
             self.cached.remove(at);
             self.hits += 1;
         }
         self.cached.push_back(prefix);
-        if self.cached.len() > size {
+        if self.cached.len() > capacity {
             self.cached.pop_front();
         }
         found.is_some()
     }
 }
 
-/// Answers a request for a path.
+/// Responds to a request for `path`, which a group gives without the prefix of the member.
 pub fn handle(engine: &Engine, mut request: Request, path: &str) {
     let body = web::body(&mut request);
     match (request.method().clone(), path) {
@@ -222,8 +244,8 @@
             web::json(request, 200, &Value::Array(runs));
         }
         (Method::Get, "/control/turned") => {
-            let turned = engine.lock().turned.clone();
-            web::json(request, 200, &json!(turned));
+            let refused_at = engine.lock().refused_at.clone();
+            web::json(request, 200, &json!(refused_at));
         }
         (Method::Get, "/control/cache") => {
             let state = engine.lock();
@@ -257,7 +279,7 @@
             web::json(
                 request,
                 400,
-                &json!({ "error": "ok, freeze, busy, rest N, break N or hold N" }),
+                &json!({ "error": "unknown mode; expected ok, freeze, busy, rest N, break N or hold N" }),
             );
             return;
         }
@@ -266,29 +288,30 @@
     web::json(request, 200, &json!({ "mode": format!("{mode:?}") }));
 }
 
+/// Runs a completion.
 fn complete(engine: &Engine, request: Request, path: &str, body: &str) {
-    let Ok(asked) = serde_json::from_str::<Value>(body) else {
-        web::json(request, 400, &json!({ "error": "not JSON" }));
+    let Ok(parameters) = serde_json::from_str::<Value>(body) else {
+        web::json(request, 400, &json!({ "error": "the body is not valid JSON" }));
         return;
     };
-    let prompt = prompt_of(&asked);
+    let prompt = prompt_of(&parameters);
     let id = web::header(&request, "x-request-id");
-    let wanted = asked["max_tokens"].as_u64().unwrap_or(TOKENS).max(1);
-    let (out, tokens) = mpsc::channel();
+    let requested = parameters["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS).max(1);
+    let (token_sender, tokens) = mpsc::channel();
     {
         let mut state = engine.lock();
         if state.mode == Mode::Busy {
             drop(state);
-            web::json(request, 503, &json!({ "error": "busy" }));
+            web::json(request, 503, &json!({ "error": "the engine is in mode busy" }));
             return;
         }
-        if let Mode::Rest(rest) = state.mode {
-            state.turned.push(clock::now());
+        if let Mode::Rest(pause_ms) = state.mode {
+            state.refused_at.push(clock::now());
             drop(state);
-            web::turn_away(request, rest);
+            web::refuse_for(request, pause_ms);
             return;
         }
-        let prefix: String = prompt.chars().take(PREFIX).collect();
+        let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         let cached = state.cache(prefix, engine.options.cache);
         let run = state.runs.len();
         let customer = web::header(&request, "x-customer");
@@ -296,35 +319,45 @@
         state.runs.push(entry);
         let priority = web::header(&request, "x-priority").parse().unwrap_or(1);
         let prefill = if cached { 1 } else { engine.options.prefill };
-        state.waiting.push_back(Sequence { id, run, priority, prefill, made: 0, wanted, out });
+        state.waiting.push_back(Sequence {
+            id,
+            run,
+            priority,
+            prefill,
+            generated: 0,
+            requested,
+            token_sender,
+        });
     }
     let word = prompt.split_whitespace().last().unwrap_or("").to_owned();
     let chat = path.contains("chat");
-    if asked["stream"].as_bool().unwrap_or(false) {
-        stream(engine, request, &tokens, &word, chat, wanted);
+    if parameters["stream"].as_bool().unwrap_or(false) {
+        stream(engine, request, &tokens, &word, chat, requested);
     } else {
-        whole(engine, request, &tokens, &word, chat, wanted);
+        respond_whole(engine, request, &tokens, &word, chat, requested);
     }
 }
 
-fn prompt_of(asked: &Value) -> String {
-    if let Some(messages) = asked["messages"].as_array() {
+/// The text of all messages of a chat, or the prompt of a plain completion.
+fn prompt_of(parameters: &Value) -> String {
+    if let Some(messages) = parameters["messages"].as_array() {
         let parts = messages.iter().map(|it| it["content"].as_str().unwrap_or(""));
         return parts.collect::<Vec<_>>().join("\n");
     }
-    asked["prompt"].as_str().unwrap_or("").to_owned()
+    parameters["prompt"].as_str().unwrap_or("").to_owned()
 }
 
+/// Sends the tokens as server-sent events.
 fn stream(
     engine: &Engine,
     request: Request,
     tokens: &mpsc::Receiver<u64>,
     word: &str,
     chat: bool,
-    wanted: u64,
+    requested: u64,
 ) {
     let limit = engine.lock().limit.map(|it| it.to_string());
-    let limit = limit.iter().map(|it| (web::LIMIT, it.as_str()));
+    let limit = limit.iter().map(|it| (web::LIMIT_HEADER, it.as_str()));
     let fields: Vec<_> = limit.chain([("content-type", "text/event-stream")]).collect();
     let Ok(mut out) = StreamWriter::open(request, 200, &fields) else { return };
     let mut sent = 0;
@@ -344,39 +377,40 @@
         }
         sent += 1;
     }
-    if sent == wanted {
+    if sent == requested {
         let _ = out.part(b"data: [DONE]\n\n");
         return;
     }
-    // An answer that broke off must not look whole.
+    // Without the end marker the response would still end as valid HTTP; its reader must see
+    // that it broke off.
     let _ = out.spoil();
 }
 
-fn whole(
+/// Sends the tokens as one JSON document.
+fn respond_whole(
     engine: &Engine,
     request: Request,
     tokens: &mpsc::Receiver<u64>,
     word: &str,
     chat: bool,
-    wanted: u64,
+    requested: u64,
 ) {
-    let made: Vec<String> = tokens
+    let texts: Vec<String> = tokens
         .iter()
         .take_while(|it| !engine.breaks_at(*it))
         .map(|it| format!("{word}:{it} "))
         .collect();
-    if made.len() as u64 != wanted {
-        web::json(request, 500, &json!({ "error": "cancelled" }));
+    if texts.len() as u64 != requested {
+        web::json(request, 500, &json!({ "error": "cancelled or broken off" }));
         return;
     }
-    let text = made.concat();
+    let text = texts.concat();
     let choice = if chat {
         json!({ "index": 0, "message": { "role": "assistant", "content": text }, "finish_reason": "stop" })
     } else {
         json!({ "index": 0, "text": text, "finish_reason": "stop" })
     };
-    let usage =
-        json!({ "prompt_tokens": 1, "completion_tokens": wanted, "total_tokens": wanted + 1 });
+    let usage = json!({ "prompt_tokens": 1, "completion_tokens": requested, "total_tokens": requested + 1 });
     let answer =
         json!({ "id": "c", "object": "chat.completion", "choices": [choice], "usage": usage });
     let limit = engine.lock().limit;
