--- a/crates/sablepass-stand/src/group.rs
+++ b/crates/sablepass-stand/src/group.rs
@@ -3,13 +3,13 @@
 
 //! Stand-in for a group of engines whose ranks step together on an expert map.
 //!
-//! Each member serves under `/member/K`: what an engine serves, and `/state`
-//! (its register), `/map`, `/experts` (late counts) and `POST /order`. The
-//! group makes a step only when every member may; a step lasts as long as the
-//! most loaded rank of each layer needs. `GET /control/steps` gives the map of
-//! every rank in every step, run by run. `POST /control/mode` takes `wave N`
-//! (other experts become popular), `stall MS` (a rank stops, and so all do),
-//! `store slow MS`, `store refuse`, `store ok`.
+//! Member K serves, under `/member/K`, the paths of an engine and also `/state` (its
+//! register), `/map`, `/experts` (token counts, up to 20 steps old) and `POST /order`. The
+//! group makes a step only when the registers of all members allow it; the duration of a step
+//! is determined by the most loaded rank of each layer. `GET /control/steps` returns the map
+//! digest of every rank for each range of steps. `POST /control/mode` takes `wave N` (draw
+//! other popular experts with seed N), `stall MS` (delay the next step, as one stopped rank
+//! does), `store slow MS`, `store refuse` and `store ok`.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,28 +26,28 @@
 use crate::engine::{self, Engine};
 use crate::{Error, web};
 
-/// Tokens that a layer routes in a step.
-const TOKENS: f64 = 32_768.0;
-/// Experts of a layer that are popular, and how much more than the others.
-const HOT: (usize, f64) = (3, 6.0);
-/// Steps between two published counts.
-const COUNT_EVERY: u64 = 20;
-/// Time between two looks while the group may not step.
-const HOLD: Duration = Duration::from_millis(1);
+/// Tokens routed by one layer in one step.
+const TOKENS_PER_STEP: f64 = 32_768.0;
+/// Popular experts per layer, and their weight relative to the other experts.
+const HOT_EXPERTS: (usize, f64) = (3, 6.0);
+/// Interval at which the published token counts are updated, in steps.
+const COUNT_INTERVAL_STEPS: u64 = 20;
+/// Polling interval while a register forbids the next step.
+const BLOCKED_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Size and speed.
+/// Size and speed of the group.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Milliseconds of an even step.
+    /// Duration of a step under even load, in milliseconds.
     pub step: u64,
-    /// Members.
+    /// Number of members, each with an engine.
     pub members: usize,
-    /// Size of the group.
+    /// Ranks, layers, experts and slots.
     pub shape: Shape,
-    /// Milliseconds of one loading of weights.
+    /// Time to load the weights of one expert, in milliseconds.
     pub load: u64,
-    /// Orders' fences are not checked.
-    pub careless: bool,
+    /// Orders with an outdated fence are accepted.
+    pub ignores_fences: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,30 +57,35 @@
     Refuse,
 }
 
-/// What a member's ranks hold.
-struct Holding {
+/// State of a member, the same for all of its ranks.
+struct Member {
     register: Register,
     fence: u64,
     map: Map,
+    /// Digest and map loaded by an arm order, used from the switch on.
     staged: Option<(u64, Map)>,
 }
 
-/// Consecutive steps in which the maps of all ranks stayed the same.
-struct Stretch {
+/// Range of consecutive steps in which no rank changed its map.
+struct StepRange {
     from: u64,
     to: u64,
-    /// Digest of the map of each rank.
+    /// Map digest of each rank.
     maps: Vec<u64>,
 }
 
 struct State {
-    members: Vec<Holding>,
+    members: Vec<Member>,
+    /// Tokens per step of each expert, by layer.
     tokens: Vec<Vec<f64>>,
+    /// Step and `tokens` of the last published counts.
     counts: (u64, Vec<Vec<f64>>),
-    steps: Vec<Stretch>,
+    steps: Vec<StepRange>,
     store: Store,
-    stall: u64,
-    held: u64,
+    /// Additional duration of the next step, in milliseconds.
+    stall_ms: u64,
+    /// Number of polls at which a register forbade the next step.
+    blocked_polls: u64,
 }
 
 struct Group {
@@ -99,16 +104,16 @@
 pub fn run(addr: SocketAddr, options: Options) -> Result<(), Error> {
     let map = Map::even(options.shape)?;
     let register = Register { step: 1, ..Register::default() };
-    let holding = || Holding { register, fence: 0, map: map.clone(), staged: None };
+    let member = || Member { register, fence: 0, map: map.clone(), staged: None };
     let tokens = popularity(options.shape, 0);
     let state = State {
-        members: (0..options.members).map(|_| holding()).collect(),
+        members: (0..options.members).map(|_| member()).collect(),
         counts: (0, tokens.clone()),
         tokens,
         steps: Vec::new(),
         store: Store::Ok,
-        stall: 0,
-        held: 0,
+        stall_ms: 0,
+        blocked_polls: 0,
     };
     let batch = engine::Options { step: options.step, batch: 32, prefill: 4, cache: 64 };
     let engines = (0..options.members).map(|_| Engine::open(batch)).collect();
@@ -118,15 +123,16 @@
     web::serve(addr, "http", move |request| handle(&group, request))
 }
 
+/// Draws the popular experts; returns the tokens per step of each expert, by layer.
 fn popularity(shape: Shape, seed: u64) -> Vec<Vec<f64>> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut layer = || {
         let mut weights = vec![1.0; shape.experts];
-        for _ in 0..HOT.0 {
-            weights[rng.random_range(0..shape.experts)] = HOT.1;
+        for _ in 0..HOT_EXPERTS.0 {
+            weights[rng.random_range(0..shape.experts)] = HOT_EXPERTS.1;
         }
         let sum: f64 = weights.iter().sum();
-        weights.into_iter().map(|it| it / sum * TOKENS).collect()
+        weights.into_iter().map(|it| it / sum * TOKENS_PER_STEP).collect()
     };
     (0..shape.layers).map(|_| layer()).collect()
 }
@@ -134,7 +140,7 @@
 fn step_forever(group: &Group) {
     loop {
         let Some(length) = step(group) else {
-            std::thread::sleep(HOLD);
+            std::thread::sleep(BLOCKED_POLL_INTERVAL);
             continue;
         };
         for engine in &group.engines {
@@ -144,12 +150,12 @@
     }
 }
 
-/// Makes one step and says how long it lasts; none while a member holds.
+/// Makes one step and returns its duration; `None` if the register of a member forbids it.
 fn step(group: &Group) -> Option<Duration> {
     let mut state = group.lock();
-    let stall = Duration::from_millis(std::mem::take(&mut state.stall));
+    let stall = Duration::from_millis(std::mem::take(&mut state.stall_ms));
     if !state.members.iter().all(|it| it.register.may_step()) {
-        state.held += 1;
+        state.blocked_polls += 1;
         return None;
     }
     let number = state.members[0].register.step;
@@ -160,7 +166,7 @@
     let digests = state.members.iter().map(|it| it.map.digest());
     let maps = digests.flat_map(|it| std::iter::repeat_n(it, ranks)).collect();
     state.record(number, maps);
-    if number.is_multiple_of(COUNT_EVERY) {
+    if number.is_multiple_of(COUNT_INTERVAL_STEPS) {
         state.counts = (number, state.tokens.clone());
     }
     let skews = state.members[0].map.skews(&state.tokens);
@@ -168,16 +174,16 @@
     Some(Duration::from_millis(group.options.step).mul_f64(skew) + stall)
 }
 
-impl Holding {
+impl Member {
     fn advance(&mut self) {
         let before = self.register.current;
         self.register.advance();
         if self.register.current == before {
             return;
         }
-        let wanted = self.register.current.map(|it| it.digest);
+        let current = self.register.current.map(|it| it.digest);
         if let Some((digest, map)) = self.staged.take()
-            && Some(digest) == wanted
+            && Some(digest) == current
         {
             self.map = map;
         }
@@ -188,7 +194,7 @@
     fn record(&mut self, step: u64, maps: Vec<u64>) {
         match self.steps.last_mut() {
             Some(last) if last.maps == maps => last.to = step,
-            _ => self.steps.push(Stretch { from: step, to: step, maps }),
+            _ => self.steps.push(StepRange { from: step, to: step, maps }),
         }
     }
 }
@@ -206,11 +212,11 @@
     match (request.method().clone(), path.as_str()) {
         (Method::Get, "/control/steps") => {
             let state = group.lock();
-            let line = |it: &Stretch| json!({ "from": it.from, "to": it.to, "maps": it.maps });
+            let line = |it: &StepRange| json!({ "from": it.from, "to": it.to, "maps": it.maps });
             let steps: Vec<Value> = state.steps.iter().map(line).collect();
-            let held = state.held;
+            let blocked_polls = state.blocked_polls;
             drop(state);
-            web::json(request, 200, &json!({ "steps": steps, "held": held }));
+            web::json(request, 200, &json!({ "steps": steps, "held": blocked_polls }));
         }
         (Method::Post, "/control/mode") => {
             let text = web::body(&mut request);
@@ -226,13 +232,17 @@
     let mut state = group.lock();
     match (word, rest.split(' ').next()) {
         ("wave", _) => state.tokens = popularity(group.options.shape, number),
-        ("stall", _) => state.stall = number,
+        ("stall", _) => state.stall_ms = number,
         ("store", Some("slow")) => state.store = Store::Slow(number),
         ("store", Some("refuse")) => state.store = Store::Refuse,
         ("store", Some("ok")) => state.store = Store::Ok,
         _ => {
             drop(state);
-            web::json(request, 400, &json!({ "error": "wave N, stall MS or store ..." }));
+            web::json(
+                request,
+                400,
+                &json!({ "error": "unknown mode; expected wave N, stall MS, store ok, store slow MS or store refuse" }),
+            );
             return;
         }
     }
@@ -240,7 +250,7 @@
     web::json(request, 200, &json!({}));
 }
 
-/// An order with its fence, and the map that an arm order loads.
+/// Body of `POST /order`: the order, its fence, and the map to load if it is an arm order.
 #[derive(Deserialize)]
 struct OrderRequest {
     fence: u64,
@@ -266,7 +276,7 @@
         (Method::Post, "/order") => {
             let text = web::body(&mut request);
             match serde_json::from_str::<OrderRequest>(&text) {
-                Ok(it) => order(group, request, index, it),
+                Ok(body) => order(group, request, index, body),
                 Err(e) => web::json(request, 400, &json!({ "error": e.to_string() })),
             }
         }
@@ -274,12 +284,16 @@
     }
 }
 
-fn order(group: &Group, request: Request, index: usize, it: OrderRequest) {
-    let staged = match it.order {
-        Order::Arm(plan) => match load(group, index, &it.map) {
+fn order(group: &Group, request: Request, index: usize, body: OrderRequest) {
+    let staged = match body.order {
+        Order::Arm(plan) => match load(group, index, &body.map) {
             Some(map) => Some((plan.digest, map)),
             None => {
-                web::json(request, 503, &json!({ "error": "the store refuses" }));
+                web::json(
+                    request,
+                    503,
+                    &json!({ "error": "the weight store refuses to load the map" }),
+                );
                 return;
             }
         },
@@ -287,13 +301,17 @@
     };
     let mut state = group.lock();
     let member = &mut state.members[index];
-    if it.fence < member.fence && !group.options.careless {
+    if body.fence < member.fence && !group.options.ignores_fences {
         drop(state);
-        web::json(request, 409, &json!({ "error": "an older fence" }));
+        web::json(
+            request,
+            409,
+            &json!({ "error": "the fence is older than that of an earlier order" }),
+        );
         return;
     }
-    member.fence = member.fence.max(it.fence);
-    if member.register.apply(it.order) && staged.is_some() {
+    member.fence = member.fence.max(body.fence);
+    if member.register.apply(body.order) && staged.is_some() {
         member.staged = staged;
     }
     let register = member.register;
@@ -301,20 +319,21 @@
     web::json(request, 200, &json!(register));
 }
 
-/// Loads the weights of a map beside the old one; none if the store refuses.
+/// Loads a map while the current one stays in use, and sleeps for the loading time. Returns
+/// `None` if the map is invalid or the store refuses.
 fn load(group: &Group, index: usize, bytes: &[u8]) -> Option<Map> {
     let map = Map::parse(group.options.shape, bytes).ok()?;
     let (moves, store) = {
         let state = group.lock();
         (map.moves_from(&state.members[index].map), state.store)
     };
-    // Members load their own ranks' share at the same time.
-    let each = moves as u64 / group.options.members as u64 * group.options.load;
-    let time = match store {
-        Store::Ok => each,
-        Store::Slow(ms) => each + ms,
+    // The members load in parallel, each the share of its own ranks.
+    let load_ms = moves as u64 / group.options.members as u64 * group.options.load;
+    let total_ms = match store {
+        Store::Ok => load_ms,
+        Store::Slow(ms) => load_ms + ms,
         Store::Refuse => return None,
     };
-    std::thread::sleep(Duration::from_millis(time));
+    std::thread::sleep(Duration::from_millis(total_ms));
     Some(map)
 }
--- a/crates/sablepass-stand/src/main.rs
+++ b/crates/sablepass-stand/src/main.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Small stand-ins for what surrounds sablepass, for tests and the demo
-//! only: the platform's services, a model engine, a plain service, and a TCP
-//! proxy that injects faults.
+//! Command-line program with the stand-ins of outside programs, for tests and the demo
+//! only: the platform's services, a model engine, a group of engines, a plain service, and a
+//! TCP proxy that injects faults.
 
 mod demo;
 mod engine;
@@ -21,31 +21,31 @@
 use sablepass_edge::cli;
 use snafu::Snafu;
 
-/// Why a stand-in could not run.
+/// Errors of a stand-in that cannot run, or of a failed demo.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Its HTTP server failed.
+    /// The HTTP server of the stand-in failed.
     #[snafu(transparent)]
     Http {
-        /// Why.
+        /// Cause.
         source: sablepass_stand::http::Error,
     },
-    /// A socket failed.
-    #[snafu(display("socket: {source}"))]
+    /// A socket or the signal handler could not be set up.
+    #[snafu(display("cannot set up a socket or signal handler: {source}"))]
     Socket {
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// No map fits the shape.
+    /// No expert map fits the shape given on the command line.
     #[snafu(transparent)]
     Shape {
-        /// Why.
+        /// Cause.
         source: sablepass_core::expert::map::Error,
     },
-    /// The demo found promises broken.
-    #[snafu(display("{broken} of the promises were broken"))]
+    /// Checks of the demo failed.
+    #[snafu(display("{broken} checks of the demo failed"))]
     Broken {
-        /// How many.
+        /// Number of failed checks.
         broken: usize,
     },
 }
@@ -76,48 +76,54 @@
             Command::new("platform")
                 .about("Configuration service and instance list")
                 .arg(address("listen"))
-                .arg(number("lag", "0", "Milliseconds by which the instance list lags")),
+                .arg(number(
+                    "lag",
+                    "0",
+                    "Delay of the instance list behind its changes, in milliseconds",
+                )),
         )
         .subcommand(
             Command::new("engine")
                 .about("Model engine with continuous batching")
                 .arg(address("listen"))
-                .arg(number("step", "6", "Milliseconds of a step"))
-                .arg(number("batch", "32", "Sequences of a step"))
-                .arg(number("prefill", "8", "Steps of a prompt that is not cached"))
-                .arg(number("cache", "64", "Prompt prefixes cached")),
+                .arg(number("step", "6", "Duration of a step, in milliseconds"))
+                .arg(number("batch", "32", "Maximum sequences in a step"))
+                .arg(number("prefill", "8", "Prefill steps of a prompt that is not cached"))
+                .arg(number("cache", "64", "Capacity of the prefix cache, in prompts")),
         )
         .subcommand(
             Command::new("group")
                 .about("Group of engines whose ranks step together on an expert map")
                 .arg(address("listen"))
-                .arg(number("step", "6", "Milliseconds of an even step"))
-                .arg(number("members", "4", "Members, each with an engine"))
-                .arg(number("ranks", "32", "Ranks"))
-                .arg(number("experts", "64", "Experts a layer"))
-                .arg(number("layers", "4", "Layers"))
-                .arg(number("slots", "3", "Slots of a rank in a layer"))
-                .arg(number("load", "1", "Milliseconds of one loading of weights"))
+                .arg(number("step", "6", "Duration of a step under even load, in milliseconds"))
+                .arg(number("members", "4", "Number of members, each with an engine"))
+                .arg(number("ranks", "32", "Number of ranks"))
+                .arg(number("experts", "64", "Experts per layer"))
+                .arg(number("layers", "4", "Number of layers"))
+                .arg(number("slots", "3", "Expert slots per rank and layer"))
+                .arg(number("load", "1", "Time to load the weights of one expert, in milliseconds"))
                 .arg(
                     Arg::new("careless")
                         .long("careless")
                         .action(clap::ArgAction::SetTrue)
-                        .help("Do not check the fence of orders"),
+                        .help("Accept orders with an outdated fence"),
                 ),
         )
         .subcommand(
             Command::new("service")
-                .about("Plain service that logs what it ran")
+                .about("Plain service that logs each call")
                 .arg(address("listen"))
-                .arg(number("delay", "0", "Milliseconds of a call")),
+                .arg(number("delay", "0", "Duration of a call, in milliseconds")),
         )
         .subcommand(
-            Command::new("demo").about("Start a small fleet and check what its callers get").arg(
-                Arg::new("hold")
-                    .long("hold")
-                    .action(clap::ArgAction::SetTrue)
-                    .help("Leave it running until Ctrl-C"),
-            ),
+            Command::new("demo")
+                .about("Start a small fleet and check the responses that callers receive")
+                .arg(
+                    Arg::new("hold")
+                        .long("hold")
+                        .action(clap::ArgAction::SetTrue)
+                        .help("Skip the checks and leave the fleet running until Ctrl-C"),
+                ),
         )
         .subcommand(
             Command::new("proxy")
@@ -131,30 +137,32 @@
 fn main() -> ExitCode {
     let matches = command().get_matches();
     let result = match matches.subcommand() {
-        Some(("platform", it)) => platform::run(addr(it, "listen"), value(it, "lag")),
-        Some(("engine", it)) => engine::run(addr(it, "listen"), engine_options(it)),
-        Some(("group", it)) => group::run(addr(it, "listen"), group_options(it)),
-        Some(("service", it)) => plain::run(addr(it, "listen"), value(it, "delay")),
-        Some(("proxy", it)) => proxy::run(addr(it, "listen"), addr(it, "control"), addr(it, "to")),
-        Some(("demo", it)) => demo::run(it.get_flag("hold")),
+        Some(("platform", args)) => platform::run(addr(args, "listen"), value(args, "lag")),
+        Some(("engine", args)) => engine::run(addr(args, "listen"), engine_options(args)),
+        Some(("group", args)) => group::run(addr(args, "listen"), group_options(args)),
+        Some(("service", args)) => plain::run(addr(args, "listen"), value(args, "delay")),
+        Some(("proxy", args)) => {
+            proxy::run(addr(args, "listen"), addr(args, "control"), addr(args, "to"))
+        }
+        Some(("demo", args)) => demo::run(args.get_flag("hold")),
         _ => Ok(()),
     };
     cli::exit("sablepass-stand", result)
 }
 
-fn engine_options(it: &ArgMatches) -> engine::Options {
+fn engine_options(args: &ArgMatches) -> engine::Options {
     engine::Options {
-        step: value(it, "step"),
-        batch: value(it, "batch") as usize,
-        prefill: value(it, "prefill"),
-        cache: value(it, "cache") as usize,
+        step: value(args, "step"),
+        batch: value(args, "batch") as usize,
+        prefill: value(args, "prefill"),
+        cache: value(args, "cache") as usize,
     }
 }
 
-fn group_options(it: &ArgMatches) -> group::Options {
-    let number = |name| value(it, name) as usize;
+fn group_options(args: &ArgMatches) -> group::Options {
+    let number = |name| value(args, name) as usize;
     group::Options {
-        step: value(it, "step"),
+        step: value(args, "step"),
         members: number("members").max(1),
         shape: Shape {
             ranks: number("ranks"),
@@ -162,15 +170,15 @@
             experts: number("experts"),
             slots: number("slots"),
         },
-        load: value(it, "load"),
-        careless: it.get_flag("careless"),
+        load: value(args, "load"),
+        ignores_fences: args.get_flag("careless"),
     }
 }
 
-fn addr(it: &ArgMatches, name: &str) -> SocketAddr {
-    it.get_one::<SocketAddr>(name).copied().unwrap_or_else(|| ([127, 0, 0, 1], 0).into())
+fn addr(args: &ArgMatches, name: &str) -> SocketAddr {
+    args.get_one::<SocketAddr>(name).copied().unwrap_or_else(|| ([127, 0, 0, 1], 0).into())
 }
 
-fn value(it: &ArgMatches, name: &str) -> u64 {
-    it.get_one::<u64>(name).copied().unwrap_or(0)
+fn value(args: &ArgMatches, name: &str) -> u64 {
+    args.get_one::<u64>(name).copied().unwrap_or(0)
 }
