--- a/crates/sablepass-stand/src/plain.rs
+++ b/crates/sablepass-stand/src/plain.rs
@@ -1,10 +1,10 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Stand-in for a plain service. It logs each call before it answers, so
-//! that its log says what ran, whatever becomes of the answer.
+//! Stand-in for a plain service. Each call is logged before the response is sent, so the log
+//! shows which calls ran even if the response is lost.
 //!
-//! `GET /control/runs` gives the log.
+//! `GET /control/runs` returns the log.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -14,8 +14,8 @@
 
 use crate::{Error, web};
 
-/// Runs the stand-in.
-pub fn run(addr: SocketAddr, delay: u64) -> Result<(), Error> {
+/// Runs the stand-in; each call takes `delay_ms` milliseconds.
+pub fn run(addr: SocketAddr, delay_ms: u64) -> Result<(), Error> {
     let runs: Mutex<Vec<Value>> = Mutex::new(Vec::new());
     web::serve(addr, "http", move |mut request| {
         let path = web::path(&request);
@@ -33,7 +33,7 @@
             log.push(run);
             log.len()
         };
-        std::thread::sleep(Duration::from_millis(delay));
+        std::thread::sleep(Duration::from_millis(delay_ms));
         web::json(request, 200, &json!({ "number": number, "path": path, "echo": body }));
     })
 }
