--- a/crates/sablepass-stand/src/platform.rs
+++ b/crates/sablepass-stand/src/platform.rs
@@ -3,11 +3,11 @@
 
 //! Stand-in for the platform: configuration service and instance list.
 //!
-//! `GET /v1/config?after=R&wait_ms=W` answers what changed after R, waiting
-//! up to W. `PUT` and `DELETE /v1/config/KEY` are the operators' tool. The
-//! instance list works alike under `/v1/instances`. `POST /control/mode`
-//! takes `up`, `down`, `stale N` (as of N revisions ago) or `slow MS`;
-//! `GET /control/reads` counts the reads.
+//! `GET /v1/config?after=R&wait_ms=W` returns the documents changed after revision R, and waits
+//! up to W milliseconds for a change. `PUT` and `DELETE /v1/config/KEY` publish and remove
+//! documents, as the operators' tool does. The instance list has the same calls under
+//! `/v1/instances`, but its reads don't wait. `POST /control/mode` takes `up`, `down`, `stale N`
+//! (as of N revisions ago) or `slow MS`; `GET /control/reads` returns the number of reads.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,18 +23,19 @@
 enum Mode {
     Up,
     Down,
-    /// Serves nothing newer than this revision.
+    /// Serves no change of the configuration after this revision.
     Stale(u64),
+    /// Delays reads of the configuration by this many milliseconds.
     Slow(u64),
 }
 
-/// One published change.
+/// A published change.
 struct Change {
     revision: u64,
     key: String,
-    /// None is a removal.
+    /// `None` for a removal.
     body: Option<String>,
-    at: Instant,
+    published_at: Instant,
 }
 
 #[derive(Default)]
@@ -49,18 +50,18 @@
 
     fn put(&mut self, key: &str, body: Option<String>) -> u64 {
         let revision = self.revision() + 1;
-        let at = Instant::now();
-        self.changes.push(Change { revision, key: key.to_owned(), body, at });
+        let published_at = Instant::now();
+        self.changes.push(Change { revision, key: key.to_owned(), body, published_at });
         revision
     }
 
-    /// The newest change of each key after a revision and up to a limit.
+    /// The latest change of each key later than revision `after` and not later than `limit`.
     fn after(&self, after: u64, limit: u64) -> Vec<&Change> {
-        let mut newest: BTreeMap<&str, &Change> = BTreeMap::new();
+        let mut latest: BTreeMap<&str, &Change> = BTreeMap::new();
         for it in self.changes.iter().filter(|it| it.revision > after && it.revision <= limit) {
-            newest.insert(&it.key, it);
+            latest.insert(&it.key, it);
         }
-        newest.into_values().collect()
+        latest.into_values().collect()
     }
 }
 
@@ -68,8 +69,9 @@
     mode: Mode,
     config: Log,
     instances: Log,
+    /// Delay of the instance list behind its changes.
     lag: Duration,
-    reads: u64,
+    config_reads: u64,
     list_reads: u64,
 }
 
@@ -84,14 +86,14 @@
     }
 }
 
-/// Runs the stand-in.
-pub fn run(addr: SocketAddr, lag: u64) -> Result<(), Error> {
+/// Runs the stand-in; the instance list shows a change `lag_ms` milliseconds later.
+pub fn run(addr: SocketAddr, lag_ms: u64) -> Result<(), Error> {
     let state = State {
         mode: Mode::Up,
         config: Log::default(),
         instances: Log::default(),
-        lag: Duration::from_millis(lag),
-        reads: 0,
+        lag: Duration::from_millis(lag_ms),
+        config_reads: 0,
         list_reads: 0,
     };
     let platform = Arc::new(Platform { state: Mutex::new(state), changed: Condvar::new() });
@@ -106,7 +108,7 @@
         (Method::Get, "/v1/instances") => read_instances(platform, request),
         (Method::Get, "/control/reads") => {
             let state = platform.lock();
-            let counts = json!({ "config": state.reads, "instances": state.list_reads });
+            let counts = json!({ "config": state.config_reads, "instances": state.list_reads });
             web::json(request, 200, &counts);
         }
         (Method::Post, "/control/mode") => set_mode(platform, request, &body),
@@ -140,7 +142,11 @@
         "stale" => Mode::Stale(state.config.revision().saturating_sub(number)),
         "slow" => Mode::Slow(number),
         _ => {
-            web::json(request, 400, &json!({ "error": "up, down, stale N or slow MS" }));
+            web::json(
+                request,
+                400,
+                &json!({ "error": "unknown mode; expected up, down, stale N or slow MS" }),
+            );
             return;
         }
     };
@@ -152,9 +158,9 @@
 fn read_config(platform: &Platform, request: Request) {
     let after = web::query(&request, "after");
     let wait = Duration::from_millis(web::query(&request, "wait_ms"));
-    let until = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     let mut state = platform.lock();
-    state.reads += 1;
+    state.config_reads += 1;
     if let Mode::Slow(ms) = state.mode {
         drop(state);
         std::thread::sleep(Duration::from_millis(ms));
@@ -163,13 +169,13 @@
     loop {
         let limit = match state.mode {
             Mode::Down => {
-                web::json(request, 503, &json!({ "error": "down" }));
+                web::json(request, 503, &json!({ "error": "the platform is in mode down" }));
                 return;
             }
             Mode::Stale(limit) => limit,
             Mode::Up | Mode::Slow(_) => u64::MAX,
         };
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let changes = state.config.after(after, limit);
         if !changes.is_empty() || left.is_zero() {
             let revision = state.config.revision().min(limit);
@@ -182,10 +188,10 @@
     }
 }
 
-fn document(it: &Change) -> Value {
+fn document(change: &Change) -> Value {
     json!({
-        "key": it.key, "revision": it.revision, "removed": it.body.is_none(),
-        "body": it.body.clone().unwrap_or_default(),
+        "key": change.key, "revision": change.revision, "removed": change.body.is_none(),
+        "body": change.body.clone().unwrap_or_default(),
     })
 }
 
@@ -194,11 +200,11 @@
     let mut state = platform.lock();
     state.list_reads += 1;
     if state.mode == Mode::Down {
-        web::json(request, 503, &json!({ "error": "down" }));
+        web::json(request, 503, &json!({ "error": "the platform is in mode down" }));
         return;
     }
-    let seen = |it: &&Change| it.at.elapsed() >= state.lag;
-    let limit = state.instances.changes.iter().rfind(seen).map_or(0, |it| it.revision);
+    let visible = |it: &&Change| it.published_at.elapsed() >= state.lag;
+    let limit = state.instances.changes.iter().rfind(visible).map_or(0, |it| it.revision);
     let documents: Vec<Value> =
         state.instances.after(after, limit).into_iter().map(document).collect();
     web::json(request, 200, &json!({ "revision": limit, "documents": documents }));
