--- a/crates/sablepass-stand/src/proxy.rs
+++ b/crates/sablepass-stand/src/proxy.rs
@@ -1,13 +1,13 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! TCP proxy that injects faults, by command over HTTP.
+//! TCP proxy that injects faults on command over HTTP.
 //!
-//! `POST /control` takes one of: `pass`; `cut` (close all, refuse new);
-//! `hold` (keep connections, pass nothing); `delay MS`; `cut-up N` and
-//! `cut-down N` (close each connection after N more bytes towards the server
-//! or the client, the last piece halved if need be), once. `GET /control`
-//! gives the bytes passed so far.
+//! `POST /control` takes one of these modes: `pass`; `cut` (close all connections, and new ones
+//! as soon as they are accepted); `hold` (keep connections open and forward nothing);
+//! `delay MS` (delay each block of bytes); `cut-up N` and `cut-down N` (close one connection
+//! after N more bytes towards the server or the client, counted over all connections, then
+//! return to `pass`). `GET /control` returns the mode and the bytes forwarded so far.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -19,8 +19,8 @@
 
 use crate::{Error, web};
 
-/// Time between two looks at the mode while bytes are held.
-const POLL: Duration = Duration::from_millis(5);
+/// Interval at which a connection checks the mode while it forwards no bytes.
+const MODE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
@@ -28,19 +28,23 @@
     Cut,
     Hold,
     Delay(u64),
-    /// Close after this many more bytes in the direction.
+    /// Close the connection that forwards the last of this many more bytes in the direction.
     CutAfter(Direction, u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
+    /// Towards the server.
     Up,
+    /// Towards the client.
     Down,
 }
 
 struct State {
     mode: Mode,
+    /// Bytes forwarded towards the server.
     up: u64,
+    /// Bytes forwarded towards the client.
     down: u64,
 }
 
@@ -50,7 +54,7 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs the proxy.
+/// Runs the proxy: forwards connections to `to`, and takes commands at `control`.
 pub fn run(listen: SocketAddr, control: SocketAddr, to: SocketAddr) -> Result<(), Error> {
     let state = Arc::new(Mutex::new(State { mode: Mode::Pass, up: 0, down: 0 }));
     let socket = |source| Error::Socket { source };
@@ -88,9 +92,9 @@
     if let Some(mode) = mode {
         state.mode = mode;
     }
-    let passed = json!({ "up": state.up, "down": state.down, "mode": format!("{:?}", state.mode) });
+    let status = json!({ "up": state.up, "down": state.down, "mode": format!("{:?}", state.mode) });
     drop(state);
-    web::json(request, 200, &passed);
+    web::json(request, 200, &status);
 }
 
 fn connect(state: &Shared, client: TcpStream, to: SocketAddr) {
@@ -100,18 +104,18 @@
     let Ok(server) = TcpStream::connect(to) else {
         return;
     };
-    let (Ok(client2), Ok(server2)) = (client.try_clone(), server.try_clone()) else {
+    let (Ok(client_reader), Ok(server_writer)) = (client.try_clone(), server.try_clone()) else {
         return;
     };
     let up = state.clone();
-    std::thread::spawn(move || pump(&up, Direction::Up, client2, server2));
+    std::thread::spawn(move || pump(&up, Direction::Up, client_reader, server_writer));
     pump(state, Direction::Down, server, client);
 }
 
 fn pump(state: &Shared, direction: Direction, mut from: TcpStream, mut to: TcpStream) {
     let mut buffer = [0; 16 * 1024];
-    // The mode is looked at even when no bytes come.
-    let _ = from.set_read_timeout(Some(POLL));
+    // The timeout lets the loop check the mode while no bytes arrive.
+    let _ = from.set_read_timeout(Some(MODE_POLL_INTERVAL));
     loop {
         if lock(state).mode == Mode::Cut {
             break;
@@ -129,7 +133,7 @@
             }
             Err(_) => break,
         };
-        let (length, cut) = pass(state, direction, length);
+        let (length, cut) = admit(state, direction, length);
         if to.write_all(&buffer[..length]).is_err() || cut {
             break;
         }
@@ -138,34 +142,35 @@
     let _ = to.shutdown(Shutdown::Both);
 }
 
-/// How many of the bytes to pass, and whether to close after them.
-fn pass(state: &Shared, direction: Direction, length: usize) -> (usize, bool) {
+/// Applies the mode to a block of `length` bytes. Returns the number of bytes to forward, and
+/// whether to close the connection after them.
+fn admit(state: &Shared, direction: Direction, length: usize) -> (usize, bool) {
     loop {
-        let mut it = lock(state);
-        match it.mode {
+        let mut locked = lock(state);
+        match locked.mode {
             Mode::Cut => return (0, true),
             Mode::Hold => {
-                drop(it);
-                std::thread::sleep(POLL);
+                drop(locked);
+                std::thread::sleep(MODE_POLL_INTERVAL);
                 continue;
             }
             Mode::Delay(ms) => {
-                drop(it);
+                drop(locked);
                 std::thread::sleep(Duration::from_millis(ms));
-                it = lock(state);
+                locked = lock(state);
             }
             Mode::CutAfter(which, left) if which == direction => {
                 if length as u64 >= left {
-                    it.mode = Mode::Pass;
+                    locked.mode = Mode::Pass;
                     return (left as usize, true);
                 }
-                it.mode = Mode::CutAfter(which, left - length as u64);
+                locked.mode = Mode::CutAfter(which, left - length as u64);
             }
             Mode::CutAfter(..) | Mode::Pass => {}
         }
         match direction {
-            Direction::Up => it.up += length as u64,
-            Direction::Down => it.down += length as u64,
+            Direction::Up => locked.up += length as u64,
+            Direction::Down => locked.down += length as u64,
         }
         return (length, false);
     }
