--- a/crates/sablepass-stand/src/http.rs
+++ b/crates/sablepass-stand/src/http.rs
@@ -1,14 +1,13 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! HTTP servers on `tiny_http`, with answers that are flushed event by event.
+//! HTTP server of the stand-ins, on `tiny_http`, with streamed responses that are flushed event
+//! by event.
 //!
-//! `tiny_http` holds small writes back in two buffers of its own, which
-//! delays streamed events, so streamed answers go through `StreamWriter`,
-//! which flushes on every write. The listener is made with `socket2` for a
-//! backlog that takes a burst of connections, and with a send timeout that
-//! the accepted sockets inherit, so that a caller that does not read is
-//! given up on.
+//! `tiny_http` keeps small writes in two buffers, which delays streamed events, so streamed
+//! responses use [`StreamWriter`], which flushes on every write. The listener is made with
+//! `socket2` for a backlog large enough for a burst of connections, and for a send timeout that
+//! accepted sockets inherit, so that a caller that does not read cannot block a thread.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,62 +18,62 @@
 use snafu::{ResultExt, Snafu};
 use tiny_http::{Header, Response, Server, StatusCode};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 4096;
-/// Time between two empty connections to the server itself. `tiny_http` 0.12
-/// queues a connection for an idle thread that may be promised to another
-/// one already; it then waits until some connection ends, which with open
-/// streams may be never. An empty connection gets a thread of its own, ends
-/// at once, and leaves that thread to the one that waits.
-const NUDGE: Duration = Duration::from_millis(20);
-/// Bytes of an answer that the kernel holds for a caller that reads slowly. Set,
-/// since it otherwise grows to megabytes a connection.
-const SEND_BUFFER: usize = 256 * 1024;
-/// Exit code of a process whose server stopped to accept.
-const EXIT_DEAF: i32 = 70;
-/// How long a write to a caller may block.
+/// Interval at which the process makes an empty connection to its own server. `tiny_http` 0.12
+/// may queue a connection for an idle thread that is already assigned to another connection.
+/// The queued one then waits until any connection ends, which may never happen with open
+/// streams. An empty connection is given a new thread, ends at once, and its thread serves the
+/// queued connection.
+const NUDGE_INTERVAL: Duration = Duration::from_millis(20);
+/// Size of the kernel's send buffer of a connection. Without a fixed size it grows to megabytes
+/// for a caller that reads slowly.
+const SEND_BUFFER_BYTES: usize = 256 * 1024;
+/// Exit code of a process whose server no longer accepts connections.
+const EXIT_NOT_ACCEPTING: i32 = 70;
+/// Maximum time that a write to a caller may block.
 const SEND_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Why a server could not be opened.
+/// Errors of opening a server.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address cannot be listened on.
-    #[snafu(display("listen on {addr}: {source}"))]
+    /// The listening socket could not be opened.
+    #[snafu(display("cannot listen on {addr}: {source}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The server did not start.
-    #[snafu(display("server on {addr}: {source}"))]
+    /// The server could not be started on the listening socket.
+    #[snafu(display("cannot start the HTTP server on {addr}: {source}"))]
     Server {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// Cause.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
 
-/// Opens a server and returns it with its address.
+/// Opens a server; returns it with the address, whose port is known then also where 0 was given.
 pub fn bind(addr: SocketAddr) -> Result<(Server, SocketAddr), Error> {
     let listener = listen(addr).context(ListenSnafu { addr })?;
     let addr = listener.local_addr().context(ListenSnafu { addr })?;
     let server = Server::from_listener(listener, None).context(ServerSnafu { addr })?;
-    spawn_nudge(addr, NUDGE);
+    spawn_nudge(addr, NUDGE_INTERVAL);
     Ok((server, addr))
 }
 
-/// Nudges the server for as long as the process lives. `tiny_http` stops to
-/// accept for good when accepting fails once, as when descriptors run out;
-/// a process that can take no callers is of no use and ends, to be replaced.
+/// Connects to the server every [`NUDGE_INTERVAL`] until the process ends. `tiny_http` stops
+/// accepting permanently after one failed accept, for example when file descriptors run out; the
+/// process then exits, so that it can be replaced.
 fn spawn_nudge(addr: SocketAddr, every: Duration) {
     std::thread::spawn(move || {
         loop {
             match TcpStream::connect_timeout(&addr, SEND_TIMEOUT) {
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
-                    eprintln!("HTTP server on {addr} accepts no more connections");
-                    std::process::exit(EXIT_DEAF);
+                    eprintln!("HTTP server on {addr} no longer accepts connections; exiting");
+                    std::process::exit(EXIT_NOT_ACCEPTING);
                 }
                 Ok(_) | Err(_) => std::thread::sleep(every),
             }
@@ -88,18 +87,18 @@
     socket.set_reuse_address(true)?;
     socket.set_tcp_nodelay(true)?;
     socket.set_write_timeout(Some(SEND_TIMEOUT))?;
-    socket.set_send_buffer_size(SEND_BUFFER)?;
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(&addr.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// A header; names and values are made by this project and always valid.
+/// A header; `None` if the name or value is not valid.
 pub fn header(name: &str, value: &str) -> Option<Header> {
     Header::from_bytes(name.as_bytes(), value.as_bytes()).ok()
 }
 
-/// A whole answer.
+/// A response with a body of known length.
 pub fn answer(
     status: u16,
     content_type: &str,
@@ -112,12 +111,12 @@
     response
 }
 
-/// Answers a request, in JSON, with a value that serializes.
+/// A response with a JSON body, which is empty if the value cannot be serialized.
 pub fn answer_json<T: Serialize>(status: u16, value: &T) -> Response<std::io::Cursor<Vec<u8>>> {
     answer(status, "application/json", serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Flushes on every write, so that nothing below holds bytes back.
+/// Flushes the inner writer on every write, so that it buffers nothing.
 struct Flushing(Box<dyn Write + Send>);
 
 impl Write for Flushing {
@@ -132,14 +131,14 @@
     }
 }
 
-/// A streamed answer: the head at once, then each part as it comes. Dropping
-/// it writes the end of the answer.
+/// A chunked response. The head is sent when it is opened, each part when it is written, and the
+/// end when it is dropped.
 pub struct StreamWriter {
     encoder: Encoder<Flushing>,
 }
 
 impl StreamWriter {
-    /// Writes the head of a chunked answer.
+    /// Sends the head of a chunked response.
     pub fn open(
         request: tiny_http::Request,
         status: u16,
@@ -156,7 +155,7 @@
         Ok(Self { encoder: Encoder::with_flush_after_write(Flushing(out)) })
     }
 
-    /// Writes one part.
+    /// Sends one part as a chunk; nothing if it is empty.
     pub fn part(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         if bytes.is_empty() {
             return Ok(());
@@ -164,8 +163,7 @@
         self.encoder.write_all(bytes)
     }
 
-    /// Makes the rest of the answer invalid, so that its reader sees that it
-    /// broke off. Only stand-ins that fail on purpose need this.
+    /// Ends the response with an invalid chunk, so that its reader recognizes it as incomplete.
     pub fn spoil(mut self) -> std::io::Result<()> {
         self.encoder.get_mut().write_all(b"broken off\r\n")
     }
