--- a/crates/sablepass-stand/src/limits.rs
+++ b/crates/sablepass-stand/src/limits.rs
@@ -1,35 +1,37 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Judges whether a target got more than the limit that it named.
+//! Checks of tests whether a target received more requests than the limit that it announced.
 
 use crate::replica::Arrival;
 
-/// Time after a target first named a limit from which that binds. Milliseconds.
+/// Time after the first announcement of a limit in which entries may exceed it, in milliseconds.
 pub const CONTACT: u64 = 3_000;
-/// Span in which requests are counted. Milliseconds.
+/// Length of the window in which requests are counted, in milliseconds.
 pub const SPAN: u64 = 4_000;
-/// Requests that may come in a span beside what the limit allows.
+/// Requests allowed in a window in addition to `LIMIT_FACTOR` times the limit.
 pub const SLACK: f64 = 5.0;
-/// What may come in a span, in parts of what the limit allows.
-const PART: f64 = 1.5;
+/// Allowed rate in a window, as a multiple of the limit.
+const LIMIT_FACTOR: f64 = 1.5;
 
-/// The requests of the fullest span in which a target named this limit all the while,
-/// with what was allowed there; none if there was no such span.
+/// Highest number of requests in a window that starts at one of them, and the number allowed.
+///
+/// Counts the requests whose responses announced `limit`, in windows that start at least
+/// [`CONTACT`] after the first of them. Returns `None` if there is no such window.
 pub fn fullest_span(arrivals: &[Arrival], limit: f64) -> Option<(usize, f64)> {
-    let naming = arrivals.iter().filter(|it| it.limit == Some(limit));
-    let times: Vec<u64> = naming.map(|it| it.at).collect();
-    let from = times.first()? + CONTACT;
-    let late = times.iter().filter(|it| **it >= from);
-    let within = |since: &u64| {
-        let span = *since..since + SPAN;
-        times.iter().filter(|it| span.contains(it)).count()
+    let announced = arrivals.iter().filter(|it| it.limit == Some(limit));
+    let times: Vec<u64> = announced.map(|it| it.at).collect();
+    let binding_from = times.first()? + CONTACT;
+    let starts = times.iter().filter(|it| **it >= binding_from);
+    let count_from = |start: &u64| {
+        let window = *start..start + SPAN;
+        times.iter().filter(|it| window.contains(it)).count()
     };
-    let most = late.map(within).max()?;
-    Some((most, allowed(limit)))
+    let highest = starts.map(count_from).max()?;
+    Some((highest, allowed(limit)))
 }
 
-/// What may come in a span.
+/// Requests allowed in one window.
 pub fn allowed(limit: f64) -> f64 {
-    PART * limit * SPAN as f64 / 1_000.0 + SLACK
+    LIMIT_FACTOR * limit * SPAN as f64 / 1_000.0 + SLACK
 }
