--- a/crates/sablepass-stand/src/keys.rs
+++ b/crates/sablepass-stand/src/keys.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Stand-in for the users' metadata store: range reads and watches of keys,
-//! on threads of the test that starts it.
+//! Stand-in for the users' metadata store: range reads and watches of keys, served by threads of
+//! the test that starts it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,28 +16,28 @@
 
 use crate::http;
 
-/// How long a slow one takes.
-const SLOW: Duration = Duration::from_millis(300);
+/// Delay of each response in [`Mode::Slow`].
+const SLOW_DELAY: Duration = Duration::from_millis(300);
 
-/// How it behaves.
+/// Behaviour of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// Serves all calls.
     Up,
-    /// It refuses all calls.
+    /// Refuses all calls with 503.
     Down,
-    /// It takes calls and never answers.
+    /// Accepts calls and does not respond; the calls are dropped when the mode changes.
     Silent,
-    /// It takes 300 ms for each answer.
+    /// Responds after 300 ms.
     Slow,
-    /// It refuses every second call.
+    /// Refuses every second call with 429.
     Refusing,
 }
 
 #[derive(Clone, Debug)]
 struct Item {
     revision: u64,
-    /// None is a removal, kept as history.
+    /// Value in base64; `None` for a removed key, which is kept for watches.
     value: Option<String>,
 }
 
@@ -46,28 +46,30 @@
     mode: Mode,
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// Revisions up to this one are no longer in the history.
-    forgotten: u64,
-    /// Text of the field that names its era; none in answers of a store that has none.
+    /// First revision from which a watch may start; the history before it is discarded.
+    history_start: u64,
+    /// Value of the `Store-Era` header of responses; `None` leaves the header out.
     era: Option<String>,
-    /// A further field of its answers.
-    field: Option<&'static str>,
-    /// Most items of a page, and what happens once the first page of a read is answered.
-    page: usize,
-    /// Each page of a read names another era.
-    flips: bool,
-    after_page: Option<(Copy, u64)>,
+    /// Name of an additional header of responses.
+    extra_header: Option<&'static str>,
+    /// Maximum number of items in a page of a range read.
+    page_items: usize,
+    /// The era changes after each page of a range read.
+    era_changes_per_page: bool,
+    /// Backup and era to restore after the next page that has a successor.
+    restore_after_page: Option<(Copy, u64)>,
+    /// Number of calls received.
     calls: u64,
 }
 
-/// An answer, with the era in which it was made.
+/// A response, with the era in which it was made.
 struct Reply {
     status: u16,
     body: Value,
     era: Option<String>,
 }
 
-/// What it held at some moment.
+/// Backup of the contents of the store at one revision.
 #[derive(Clone, Debug)]
 pub struct Copy {
     revision: u64,
@@ -82,28 +84,29 @@
     }
 }
 
-/// The store. It serves until the process ends.
+/// The store. It serves until the process ends; clones share its contents.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// Where it serves.
+    /// Address it listens on.
     pub addr: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Store {
-    /// Starts an empty store.
+    /// Starts an empty store in era 1.
     pub fn spawn() -> Self {
-        let (server, addr) = http::bind(([127, 0, 0, 1], 0).into()).expect("the store listens");
+        let (server, addr) =
+            http::bind(([127, 0, 0, 1], 0).into()).expect("the store can listen on a free port");
         let state = State {
             mode: Mode::Up,
             revision: 100,
             items: BTreeMap::new(),
-            forgotten: 0,
+            history_start: 0,
             era: Some("1".to_owned()),
-            field: None,
-            page: 500,
-            flips: false,
-            after_page: None,
+            extra_header: None,
+            page_items: 500,
+            era_changes_per_page: false,
+            restore_after_page: None,
             calls: 0,
         };
         let store = Self { addr, state: Arc::new((Mutex::new(state), Condvar::new())) };
@@ -121,23 +124,23 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how it behaves.
+    /// Changes the behaviour of the store.
     pub fn set(&self, mode: Mode) {
         self.lock().mode = mode;
         self.state.1.notify_all();
     }
 
-    /// Writes a value, given as text. Its revision.
+    /// Writes a value in base64; returns its revision.
     pub fn put(&self, key: &str, value: &str) -> u64 {
         self.change(key, Some(BASE64_STANDARD.encode(value)))
     }
 
-    /// Writes what is not base64.
+    /// Writes a value without encoding it, for values that are not valid base64.
     pub fn put_raw(&self, key: &str, value: &str) -> u64 {
         self.change(key, Some(value.to_owned()))
     }
 
-    /// Removes a key.
+    /// Removes a key; returns the revision of the removal.
     pub fn remove(&self, key: &str) -> u64 {
         self.change(key, None)
     }
@@ -151,11 +154,11 @@
         revision
     }
 
-    /// Forgets its history, so that watches from before get no answer.
+    /// Discards the history, so that watches from an earlier revision are refused with 410.
     pub fn forget(&self) {
         let mut state = self.lock();
         state.revision += 1;
-        state.forgotten = state.revision;
+        state.history_start = state.revision;
         self.state.1.notify_all();
     }
 
@@ -164,50 +167,50 @@
         self.lock().items.get(key).map(|it| it.revision)
     }
 
-    /// Its revision, which every change raises.
+    /// Current revision, which every change increments.
     pub fn revision(&self) -> u64 {
         self.lock().revision
     }
 
-    /// Takes a copy of it.
+    /// Takes a backup of the contents.
     pub fn copy(&self) -> Copy {
         let state = self.lock();
         Copy { revision: state.revision, items: state.items.clone() }
     }
 
-    /// Replaces what it holds by a copy, from which it goes on in this era. Later revisions
-    /// are given out again.
+    /// Replaces the contents by a backup and continues in this era. Revisions later than the
+    /// backup are assigned a second time.
     pub fn restore(&self, copy: &Copy, era: u64) {
         self.lock().restore(copy, era);
         self.state.1.notify_all();
     }
 
-    /// Answers reads by pages of so many items, and is restored between the first page of the
-    /// next read and its second.
+    /// Sets the page size of range reads, and restores the backup between the first and the second
+    /// page of the next range read.
     pub fn restore_within_read(&self, items: usize, copy: &Copy, era: u64) {
         let mut state = self.lock();
-        state.page = items;
-        state.after_page = Some((copy.clone(), era));
+        state.page_items = items;
+        state.restore_after_page = Some((copy.clone(), era));
     }
 
-    /// Answers reads by pages of so many items, each of which names another era.
+    /// Sets the page size of range reads, and alternates between two eras from page to page.
     pub fn flip(&self, items: usize) {
         let mut state = self.lock();
-        state.page = items;
-        state.flips = true;
+        state.page_items = items;
+        state.era_changes_per_page = true;
     }
 
-    /// Changes the field that names its era; none leaves it out.
+    /// Sets the value of the `Store-Era` header; `None` leaves the header out.
     pub fn name_era(&self, text: Option<&str>) {
         self.lock().era = text.map(str::to_owned);
     }
 
-    /// Adds a field of this name to its answers.
+    /// Adds a header of this name to all responses.
     pub fn name_field(&self, name: &'static str) {
-        self.lock().field = Some(name);
+        self.lock().extra_header = Some(name);
     }
 
-    /// Calls taken so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
@@ -215,84 +218,93 @@
     fn answer(&self, request: Request) {
         let url = request.url().to_owned();
         let (path, query) = url.split_once('?').unwrap_or((&url, ""));
-        let field = |name: &str| {
+        let parameter = |name: &str| {
             let mut pairs = query.split('&').filter_map(|it| it.split_once('='));
             pairs.find(|it| it.0 == name).map_or("", |it| it.1).to_owned()
         };
-        let prefix = field("pathPrefix");
+        let prefix = parameter("pathPrefix");
         let (mode, calls, era) = {
             let mut state = self.lock();
             state.calls += 1;
             (state.mode, state.calls, state.era.clone())
         };
         if mode == Mode::Slow {
-            std::thread::sleep(SLOW);
+            std::thread::sleep(SLOW_DELAY);
         }
         let refused = mode == Mode::Refusing && calls.is_multiple_of(2);
         let Reply { status, body, era } = match (mode, path) {
             _ if refused => Reply { status: 429, body: json!({ "error": "too many calls" }), era },
-            (Mode::Down, _) => Reply { status: 503, body: json!({ "error": "down" }), era },
+            (Mode::Down, _) => {
+                Reply { status: 503, body: json!({ "error": "the store is down" }), era }
+            }
             (Mode::Silent, _) => {
-                self.wait_for_voice();
+                self.wait_while_silent();
                 return;
             }
-            (_, "/-/kv-range") => self.range(&prefix, &field("after")),
+            (_, "/-/kv-range") => self.range(&prefix, &parameter("after")),
             (_, "/-/kv-watch") => {
-                let after = field("after").parse().unwrap_or(0);
-                let wait = Duration::from_millis(field("waitMs").parse().unwrap_or(0));
+                let after = parameter("after").parse().unwrap_or(0);
+                let wait = Duration::from_millis(parameter("waitMs").parse().unwrap_or(0));
                 self.watch(&prefix, after, wait)
             }
-            (_, _) => Reply { status: 400, body: json!({ "error": "no such call" }), era },
+            (_, _) => Reply { status: 400, body: json!({ "error": "unknown call" }), era },
         };
         let mut response = http::answer_json(status, &body);
-        if let Some(field) = era.and_then(|it| http::header("Store-Era", &it)) {
-            response.add_header(field);
+        if let Some(header) = era.and_then(|it| http::header("Store-Era", &it)) {
+            response.add_header(header);
         }
-        let field = self.lock().field;
-        if let Some(field) = field.and_then(|it| http::header(it, "1")) {
-            response.add_header(field);
+        let extra = self.lock().extra_header;
+        if let Some(header) = extra.and_then(|it| http::header(it, "1")) {
+            response.add_header(header);
         }
-        // The asker may be gone.
+        // The caller may have closed the connection.
         let _ = request.respond(response);
     }
 
-    fn wait_for_voice(&self) {
+    /// Blocks until the mode is no longer [`Mode::Silent`].
+    fn wait_while_silent(&self) {
         let silent = |state: &mut State| state.mode == Mode::Silent;
-        let held = self.state.1.wait_while(self.lock(), silent);
-        drop(held.unwrap_or_else(PoisonError::into_inner));
+        let guard = self.state.1.wait_while(self.lock(), silent);
+        drop(guard.unwrap_or_else(PoisonError::into_inner));
     }
 
+    /// One page of the items under `prefix` with keys later than `after`.
     fn range(&self, prefix: &str, after: &str) -> Reply {
         let mut state = self.lock();
         let live = state.items.iter().filter(|(key, it)| {
             key.starts_with(prefix) && key.as_str() > after && it.value.is_some()
         });
         let mut items: Vec<Value> = live.map(|(key, it)| item(key, it)).collect();
-        let more = items.len() > state.page;
-        items.truncate(state.page);
+        let more = items.len() > state.page_items;
+        items.truncate(state.page_items);
         let body = json!({ "items": items, "more": more, "at": state.revision });
         let reply = Reply { status: 200, body, era: state.era.clone() };
-        if state.flips {
+        if state.era_changes_per_page {
             let era = if state.era.as_deref() == Some("2") { "3" } else { "2" };
             state.era = Some(era.to_owned());
         }
-        if more && let Some((copy, era)) = state.after_page.take() {
+        if more && let Some((copy, era)) = state.restore_after_page.take() {
             state.restore(&copy, era);
             self.state.1.notify_all();
         }
         reply
     }
 
+    /// Changes under `prefix` later than revision `after`; waits for one until the timeout.
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Reply {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         let mut state = self.lock();
         let reply = |state: &State, status, body| Reply { status, body, era: state.era.clone() };
         loop {
-            if after < state.forgotten || after > state.revision {
-                return reply(&state, 410, json!({ "error": "history gone" }));
+            if after < state.history_start || after > state.revision {
+                return reply(
+                    &state,
+                    410,
+                    json!({ "error": "the history no longer has this revision" }),
+                );
             }
             if matches!(state.mode, Mode::Down | Mode::Silent) {
-                return reply(&state, 503, json!({ "error": "down" }));
+                return reply(&state, 503, json!({ "error": "the store is down" }));
             }
             let newer = state
                 .items
@@ -301,13 +313,13 @@
             let mut events: Vec<(u64, Value)> =
                 newer.map(|(key, it)| (it.revision, item(key, it))).collect();
             events.sort_by_key(|it| it.0);
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() {
                 let events: Vec<Value> = events.into_iter().map(|it| it.1).collect();
                 return reply(&state, 200, json!({ "events": events, "at": state.revision }));
             }
-            let held = self.state.1.wait_timeout(state, left);
-            state = held.unwrap_or_else(PoisonError::into_inner).0;
+            let waited = self.state.1.wait_timeout(state, left);
+            state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
