--- a/crates/sablepass-stand/src/ranks.rs
+++ b/crates/sablepass-stand/src/ranks.rs
@@ -1,12 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Stand-in for a group of engines that step together and keep no vote: each
-//! rank serves its account, its counts and its orders at a loopback address of
-//! its own, on threads of the test that starts it.
+//! Stand-in for a group of engines that step together without a voting protocol. Each rank
+//! serves its report, its expert counts and its orders at a loopback address of its own, on
+//! threads of the test that starts it.
 //!
-//! What orders do was seen on the users' platform and is written down in
-//! `docs/design/0006-platform.md`.
+//! Orders have the effects observed on the users' platform, which
+//! `docs/design/0006-platform.md` describes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::ops::RangeInclusive;
@@ -19,24 +19,34 @@
 
 use crate::{http, site};
 
-/// Time of a step.
+/// Duration of a step.
 const STEP: Duration = Duration::from_millis(20);
-/// Choices of a step by each rank.
-const CHOICES: u64 = 10_000;
+/// Times per step that each rank chooses the hot expert; the others are chosen 1/20 as often.
+const HOT_CHOICES_PER_STEP: u64 = 10_000;
 
-/// Experts a layer, slots a rank and new experts a preparation.
+/// Experts in the layer.
 const EXPERTS: u64 = 8;
-const SLOTS: u64 = 4;
-const SPARE: usize = 2;
+/// Expert slots per rank.
+const SLOTS_PER_RANK: u64 = 4;
+/// Maximum number of experts that a prepared map may add to a rank.
+const SPARE_SLOTS: usize = 2;
 
+/// State of a rank.
 #[derive(Clone, Debug, Default)]
 struct Rank {
+    /// Highest fence of an accepted order.
     fence: u64,
+    /// Version of the map in use.
     version: u64,
+    /// Experts that the map in use places on the rank.
     experts: Vec<u64>,
+    /// Version and experts of the prepared map.
     prepared: Option<(u64, Vec<u64>)>,
+    /// Version of the map to switch to, and the step of the switch.
     armed: Option<(u64, u64)>,
+    /// Step before which the rank stops.
     held: Option<u64>,
+    /// Choices of each expert so far.
     counts: Vec<u64>,
 }
 
@@ -45,33 +55,34 @@
     epoch: u64,
     step: u64,
     ranks: Vec<Rank>,
-    /// The expert that most requests choose.
-    hot: u64,
-    /// Orders taken.
+    /// The expert that is chosen most.
+    hot_expert: u64,
+    /// Number of orders received.
     orders: u64,
-    /// A rank leaves every order unanswered while this is set.
-    deaf: Option<usize>,
-    /// How long each rank takes for the same work.
+    /// Rank that closes the connection on each order, without carrying it out.
+    unresponsive: Option<usize>,
+    /// Relative time that each rank takes for the same work; 1 is normal.
     paces: Vec<f64>,
-    /// Steps that began on two maps.
-    broken: Vec<u64>,
+    /// Steps at which the ranks used different maps.
+    inconsistent_steps: Vec<u64>,
 }
 
-/// The group. It serves until the process ends.
+/// The group. It serves until the process ends; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Group {
-    /// Where each rank serves.
+    /// Address that each rank listens on.
     pub addrs: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
 }
 
-/// Address `number` of this machine's loopback.
+/// Loopback address of rank `number`: 127.0.1.1 and following.
 pub fn loopback(number: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 0, 1, number as u8 + 1))
 }
 
-/// An address of this machine's loopback that nothing else of this process or of
-/// others uses, so that a port found free there stays free.
+/// A new loopback address for a simulated machine. Its second and third part come from the
+/// process id, so that no other process or test uses the address and a port found free there
+/// stays free.
 pub fn machine() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -80,20 +91,20 @@
     IpAddr::V4(Ipv4Addr::new(127, part(process), part(process / 250), part(number)))
 }
 
-/// A port that is free at the first so many loopback addresses.
+/// A port that is free at the first `addresses` loopback addresses.
 pub fn free_port(addresses: usize) -> u16 {
     let addresses: Vec<IpAddr> = (0..addresses).map(loopback).collect();
     free_port_at(&addresses)
 }
 
-/// Ports that the kernel gives to nobody who asks for any: a process that starts again at
-/// its port finds it free.
-const OWN_PORTS: RangeInclusive<u16> = 12_000..=32_000;
+/// Ports below the range from which the kernel assigns ephemeral ports, so that a port is still
+/// free when a process restarts with it.
+const NON_EPHEMERAL_PORTS: RangeInclusive<u16> = 12_000..=32_000;
 
 /// A port that is free at all of these addresses.
 pub fn free_port_at(addresses: &[IpAddr]) -> u16 {
     loop {
-        let port = rand::random_range(OWN_PORTS);
+        let port = rand::random_range(NON_EPHEMERAL_PORTS);
         if addresses.iter().all(|it| TcpListener::bind((*it, port)).is_ok()) {
             return port;
         }
@@ -101,27 +112,28 @@
 }
 
 impl Group {
-    /// Starts a group of so many ranks, whose first map deals experts out in turn.
+    /// Starts a group of `ranks` ranks, whose first map assigns experts round-robin.
     pub fn spawn(ranks: usize) -> Self {
-        let dealt = |rank: u64| (0..EXPERTS).filter(|it| it % ranks as u64 == rank).collect();
-        let fresh = |rank: usize| Rank {
-            experts: dealt(rank as u64),
+        let assigned = |rank: u64| (0..EXPERTS).filter(|it| it % ranks as u64 == rank).collect();
+        let initial = |rank: usize| Rank {
+            experts: assigned(rank as u64),
             counts: vec![0; EXPERTS as usize],
             ..Rank::default()
         };
         let state = State {
             epoch: 1,
             step: 1,
-            ranks: (0..ranks).map(fresh).collect(),
-            hot: 0,
+            ranks: (0..ranks).map(initial).collect(),
+            hot_expert: 0,
             orders: 0,
-            deaf: None,
+            unresponsive: None,
             paces: vec![1.0; ranks],
-            broken: Vec::new(),
+            inconsistent_steps: Vec::new(),
         };
         let mut group = Self { addrs: Vec::new(), state: Arc::new(Mutex::new(state)) };
         for rank in 0..ranks {
-            let (server, addr) = http::bind((loopback(rank), 0).into()).expect("it listens");
+            let (server, addr) =
+                http::bind((loopback(rank), 0).into()).expect("a rank can listen on a free port");
             group.addrs.push(addr);
             let serving = group.clone();
             std::thread::spawn(move || {
@@ -144,67 +156,67 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes another expert the one that most requests choose.
+    /// Sets the expert that is chosen most.
     pub fn shift(&self, hot: u64) {
-        self.lock().hot = hot;
+        self.lock().hot_expert = hot;
     }
 
-    /// Has a rank leave orders unanswered and not carry them out.
+    /// Makes a rank close the connection on each order without carrying it out; `None` ends this.
     pub fn deafen(&self, rank: Option<usize>) {
-        self.lock().deaf = rank;
+        self.lock().unresponsive = rank;
     }
 
-    /// Has a rank take so many times as long for the same work.
+    /// Makes a rank report that it takes `pace` times as long for the same work.
     pub fn slow(&self, rank: usize, pace: f64) {
         self.lock().paces[rank] = pace;
     }
 
-    /// How many experts a rank holds.
+    /// Number of experts on a rank.
     pub fn held_by(&self, rank: usize) -> usize {
         self.lock().ranks[rank].experts.len()
     }
 
-    /// Version in force at every rank; none while they differ.
+    /// Version of the map that all ranks use; `None` while they differ.
     pub fn version(&self) -> Option<u64> {
         let state = self.lock();
         let first = state.ranks[0].version;
         state.ranks.iter().all(|it| it.version == first).then_some(first)
     }
 
-    /// Ranks that hold an expert.
+    /// Number of ranks that have an expert.
     pub fn holders(&self, expert: u64) -> usize {
         self.lock().ranks.iter().filter(|it| it.experts.contains(&expert)).count()
     }
 
-    /// The last step begun, and whether a rank holds the next one.
+    /// The current step, and whether a hold order is in effect at a rank.
     pub fn progress(&self) -> (u64, bool) {
         let state = self.lock();
         (state.step, state.ranks.iter().any(|it| it.held.is_some()))
     }
 
-    /// Steps that began on two maps.
+    /// Steps at which the ranks used different maps.
     pub fn broken(&self) -> Vec<u64> {
-        self.lock().broken.clone()
+        self.lock().inconsistent_steps.clone()
     }
 
-    /// A configuration whose service is this group.
+    /// A configuration whose service is served by such a group.
     pub fn configuration(version: u64) -> Value {
-        let mut it = site::configuration(version);
-        it["services"][0]["engine"] = json!({
+        let mut configuration = site::configuration(version);
+        configuration["services"][0]["engine"] = json!({
             "slots": 12, "kvCapacity": 1000, "step_ms": 5.0, "per_seq_ms": 0.3,
             "context_per_k": 0.03, "read_per_s": 60000.0, "chunk": 512, "stride": 5, "linkMbps": 8000.0,
-            "sets": 1, "experts": EXPERTS, "places": SLOTS, "spare": SPARE, "expert_mb": 10.0,
+            "sets": 1, "experts": EXPERTS, "places": SLOTS_PER_RANK, "spare": SPARE_SLOTS, "expert_mb": 10.0,
             "expert_share": 0.85, "form_ms": 100.0,
         });
-        it
+        configuration
     }
 
-    /// What a rank's replica writes into the store.
+    /// Entry of a rank's replica in the store, for the service `orders`.
     pub fn entry(&self, rank: usize) -> String {
         self.entry_of(rank, "orders")
     }
 
-    /// The same, where the group serves this.
+    /// Entry of a rank's replica in the store, for any service.
     pub fn entry_of(&self, rank: usize, service: &str) -> String {
         json!({
             "service": service, "address": self.addrs[rank].to_string(), "zone": "ba-1",
@@ -213,6 +225,8 @@
         .to_string()
     }
 
+    /// Makes a step, unless a rank has a hold order for it. Armed maps come into use with their
+    /// step.
     fn step(&self) {
         let mut state = self.lock();
         let next = state.step + 1;
@@ -220,7 +234,7 @@
             return;
         }
         state.step = next;
-        let hot = state.hot as usize;
+        let hot = state.hot_expert as usize;
         for rank in &mut state.ranks {
             if let Some((version, _)) = rank.armed.filter(|it| it.1 <= next) {
                 rank.armed = None;
@@ -230,19 +244,20 @@
                 }
             }
             for (expert, count) in rank.counts.iter_mut().enumerate() {
-                *count += if expert == hot { CHOICES } else { CHOICES / 20 };
+                *count +=
+                    if expert == hot { HOT_CHOICES_PER_STEP } else { HOT_CHOICES_PER_STEP / 20 };
             }
         }
         let first = state.ranks[0].version;
         if state.ranks.iter().any(|it| it.version != first) {
-            state.broken.push(next);
+            state.inconsistent_steps.push(next);
         }
     }
 
     fn answer(&self, rank: usize, mut request: Request) {
         let url = request.url().to_owned();
         let mut body = String::new();
-        // An order that breaks off is none.
+        // An incomplete body is not valid JSON and is refused as an unknown order.
         let _ = request.as_reader().read_to_string(&mut body);
         let (status, answer) = match url.as_str() {
             "/-/report" => (200, self.report(rank)),
@@ -253,12 +268,12 @@
             }
             "/-/picked?lists=1" => {
                 let state = self.lock();
-                let it = &state.ranks[rank];
-                let map = json!({ "version": it.version, "experts": [it.experts] });
+                let own = &state.ranks[rank];
+                let map = json!({ "version": own.version, "experts": [own.experts] });
                 (200, json!({ "epoch": state.epoch, "map": map, "prepared": null }))
             }
             "/-/order" => {
-                if self.lock().deaf == Some(rank) {
+                if self.lock().unresponsive == Some(rank) {
                     // The connection closes without an answer.
                     return;
                 }
@@ -267,74 +282,75 @@
             }
             _ => (404, json!({})),
         };
-        // The asker may be gone.
+        // The caller may have closed the connection.
         let _ = request.respond(http::answer_json(status, &answer));
     }
 
     fn report(&self, rank: usize) -> Value {
         let state = self.lock();
-        let it = &state.ranks[rank];
-        let armed = it.armed.map(|(version, step)| json!({ "version": version, "step": step }));
+        let own = &state.ranks[rank];
+        let armed = own.armed.map(|(version, step)| json!({ "version": version, "step": step }));
         json!({
             "queued": 0, "active": 1, "pace": state.paces[rank], "size": state.ranks.len(), "step": state.step,
             "group": { "name": "g", "epoch": state.epoch, "rank": rank, "state": "open" },
-            "map": it.version, "prepared": it.prepared.as_ref().map(|it| it.0), "armed": armed,
-            "held": it.held,
+            "map": own.version, "prepared": own.prepared.as_ref().map(|it| it.0), "armed": armed,
+            "held": own.held,
         })
     }
 
+    /// Carries out an order; returns the HTTP status.
     fn order(&self, rank: usize, order: &Value) -> u16 {
         let mut state = self.lock();
         let (epoch, step) = (state.epoch, state.step);
         state.orders += 1;
-        let it = &mut state.ranks[rank];
+        let own = &mut state.ranks[rank];
         let number = |name: &str| order[name].as_u64().unwrap_or(0);
         if number("epoch") != epoch {
             return 409;
         }
-        if number("fence") < it.fence {
+        if number("fence") < own.fence {
             return 412;
         }
         let (version, at) = (number("version"), number("step"));
-        let fits = match order["op"].as_str() {
+        let accepted = match order["op"].as_str() {
             Some("prepare") => {
-                let held = it.prepared.as_ref().map_or(0, |it| it.0).max(it.version);
+                let latest = own.prepared.as_ref().map_or(0, |it| it.0).max(own.version);
                 let experts: Vec<u64> = order["map"][0][rank]
                     .as_array()
                     .map(|it| it.iter().filter_map(Value::as_u64).collect())
                     .unwrap_or_default();
-                let new = experts.iter().filter(|expert| !it.experts.contains(expert)).count();
-                let fits = version > held && it.armed.is_none() && new <= SPARE;
-                if fits {
-                    it.prepared = Some((version, experts));
+                let new = experts.iter().filter(|expert| !own.experts.contains(expert)).count();
+                let accepted = version > latest && own.armed.is_none() && new <= SPARE_SLOTS;
+                if accepted {
+                    own.prepared = Some((version, experts));
                 }
-                fits
+                accepted
             }
             Some("hold") => {
-                let fits = step < at && it.held.is_none_or(|held| held == at);
-                it.held = if fits { Some(at) } else { it.held };
-                fits
+                let accepted = step < at && own.held.is_none_or(|held| held == at);
+                own.held = if accepted { Some(at) } else { own.held };
+                accepted
             }
             Some("arm") => {
-                let prepared = it.prepared.as_ref().is_some_and(|it| it.0 == version);
-                let fits = prepared && step < at && it.armed.is_none_or(|it| it.0 == version);
-                it.armed = if fits { Some((version, at)) } else { it.armed };
-                fits
+                let prepared = own.prepared.as_ref().is_some_and(|it| it.0 == version);
+                let accepted = prepared && step < at && own.armed.is_none_or(|it| it.0 == version);
+                own.armed = if accepted { Some((version, at)) } else { own.armed };
+                accepted
             }
             Some("disarm") => {
-                it.armed = it.armed.filter(|it| it.0 != version);
-                it.version != version
+                own.armed = own.armed.filter(|it| it.0 != version);
+                own.version != version
             }
             Some("go") => {
-                it.held = it.held.filter(|held| *held != at);
+                own.held = own.held.filter(|held| *held != at);
                 true
             }
             _ => return 400,
         };
-        if !fits {
+        if !accepted {
             return 409;
         }
-        it.fence = it.fence.max(number("fence"));
+        own.fence = own.fence.max(number("fence"));
         200
     }
 }
