--- a/crates/sablepass-stand/src/site.rs
+++ b/crates/sablepass-stand/src/site.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A small site of the users' platform: the store, replicas and entries that
-//! send requests straight to them.
+//! A small site of the users' platform for tests: the stand-in store, stand-in replicas, and
+//! entries that send requests directly to the replicas.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,22 +15,23 @@
 use crate::process::Process;
 use crate::replica::Replica;
 
-/// Host that all routes answer to.
+/// Host name of all routes.
 pub const HOST: &str = "users.example";
-/// Key of the customer.
+/// API key of the customer.
 pub const KEY: &str = "key-of-a-customer";
 /// Name of the customer.
 pub const CUSTOMER: &str = "bakery";
 
+/// Number of sites of this process, for the names of their directories.
 static SITES: AtomicUsize = AtomicUsize::new(0);
 
-/// How often entries read the store and tell each other what they hold.
+/// How often entries read the store and exchange digests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Pace {
-    /// So often that tests wait for little.
+    /// Short intervals, to keep tests short.
     #[default]
     Quick,
-    /// As on the users' platform.
+    /// The intervals of the users' platform.
     Platform,
 }
 
@@ -45,29 +46,29 @@
     }
 }
 
-/// The site. Its entries end when it is dropped.
+/// A site. Its entries are killed when it is dropped.
 #[derive(Debug)]
 pub struct Site {
-    /// The store.
+    /// The stand-in store.
     pub store: Store,
-    /// Replicas in the order they were added.
+    /// Replicas, in the order of their addition.
     pub replicas: Vec<Replica>,
-    /// Entries and agents in the order they were added.
+    /// Entries, in the order of their addition.
     pub entries: Vec<Process>,
-    /// How often entries that are started from now on read and tell.
+    /// Intervals of entries that are started later.
     pub pace: Pace,
-    /// Entries started, for their names.
+    /// Number of entries started, for their names.
     started: usize,
     dir: PathBuf,
 }
 
 impl Site {
-    /// Starts a store with replicas of one service and no entry.
+    /// Starts the store and `replicas` replicas of one service, without an entry.
     pub fn open(replicas: usize) -> Self {
         let number = SITES.fetch_add(1, Ordering::Relaxed);
         let name = format!("sablepass-site-{}-{number}", std::process::id());
         let dir = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&dir).expect("a directory for settings");
+        std::fs::create_dir_all(&dir).expect("the directory for settings can be created");
         let site = Self {
             store: Store::spawn(),
             replicas: Vec::new(),
@@ -84,12 +85,12 @@
         site
     }
 
-    /// Writes a configuration. Its revision.
-    pub fn configure(&self, it: &Value) -> u64 {
-        self.store.put("op/config", &it.to_string())
+    /// Writes a configuration to the store; returns its revision.
+    pub fn configure(&self, configuration: &Value) -> u64 {
+        self.store.put("op/config", &configuration.to_string())
     }
 
-    /// Starts a replica and lists it.
+    /// Starts a replica and lists it as ready; returns its index.
     pub fn add_replica(&mut self, service: &str) -> usize {
         let replica = Replica::spawn(service);
         self.list(&replica, "ready");
@@ -97,17 +98,18 @@
         self.replicas.len() - 1
     }
 
-    /// Lists a replica in a state.
-    pub fn list(&self, it: &Replica, state: &str) {
-        self.store.put(&format!("servers/{}", it.id), &it.entry(state));
+    /// Writes the replica's entry to the store, with a state.
+    pub fn list(&self, replica: &Replica, state: &str) {
+        self.store.put(&format!("servers/{}", replica.id), &replica.entry(state));
     }
 
-    /// Starts an entry that may ask the others when the store is silent.
+    /// Starts an entry with additional settings lines; returns its index. All earlier entries are
+    /// its seeds, from which it reads when the store does not respond.
     pub fn add_entry(&mut self, more: &str) -> usize {
         self.add_entry_at(more, self.entries.len())
     }
 
-    /// The same, where only the first so many entries are its seeds.
+    /// Like [`Self::add_entry`], with only the first `seeds` entries as seeds.
     pub fn add_entry_at(&mut self, more: &str, seeds: usize) -> usize {
         let seeds = self.entries.iter().take(seeds);
         let seeds: Vec<String> = seeds.map(|it| it.addr("peers")).collect();
@@ -121,13 +123,13 @@
             self.pace.settings()
         );
         let path = self.dir.join(format!("{name}.toml"));
-        std::fs::write(&path, text).expect("settings can be written");
+        std::fs::write(&path, text).expect("the settings file can be written");
         let entry = Process::spawn("sablepass-entry", &["--config", &path.to_string_lossy()]);
         self.entries.push(entry);
         self.entries.len() - 1
     }
 
-    /// Starts an agent beside a target, at an address and port of its own.
+    /// Starts an agent for `target` that listens on `at`.
     pub fn add_agent(&self, at: SocketAddr, target: SocketAddr) -> Process {
         let seeds: Vec<String> = self.entries.iter().map(|it| it.addr("peers")).collect();
         let name = format!("agent-{}", at.ip());
@@ -139,14 +141,14 @@
             self.store.addr
         );
         let path = self.dir.join(format!("{name}.toml"));
-        std::fs::write(&path, text).expect("settings can be written");
+        std::fs::write(&path, text).expect("the settings file can be written");
         Process::spawn("sablepass-agent", &["--config", &path.to_string_lossy()])
     }
 
-    /// Waits until every entry is ready and can use so many targets.
+    /// Waits until every entry has a configuration and exactly `targets` usable targets.
     pub fn settle(&self, targets: usize) {
         for entry in &self.entries {
-            wait_for("an entry settles", || {
+            wait_for("an entry to have a configuration and its targets", || {
                 let status = status(&entry.addr("admin"));
                 let usable = status["targets"].as_array().map_or(0, |it| {
                     it.iter().filter(|it| it["usable"].as_bool() == Some(true)).count()
@@ -156,17 +158,17 @@
         }
     }
 
-    /// Where callers reach an entry.
+    /// Address at which an entry serves callers.
     pub fn http(&self, entry: usize) -> String {
         self.entries[entry].addr("http")
     }
 
-    /// An entry's status.
+    /// Status of an entry.
     pub fn status(&self, entry: usize) -> Value {
         status(&self.entries[entry].addr("admin"))
     }
 
-    /// How often a replica began to run a request, over all replicas.
+    /// How often a request with this id was started, summed over all replicas.
     pub fn runs(&self, id: &str) -> usize {
         let all = self.replicas.iter().flat_map(Replica::runs);
         all.filter(|it| it.id == id).count()
@@ -179,12 +181,12 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // Left-over settings do no harm.
+        // Settings that cannot be removed are left behind; nothing reads them again.
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-/// A request of the customer, with a name of its own.
+/// A request of the customer with a request id and a deadline of 5 s.
 pub fn ask(method: &str, path: &str, id: &str, body: &str) -> Ask {
     let ask = Ask {
         method: method.to_owned(),
@@ -198,7 +200,8 @@
         .with("x-deadline-ms", "5000")
 }
 
-/// A configuration of routes for each kind of request, all to one service.
+/// A configuration with one route per route type (`streaming`, `safe`, `unsafe`), all to the
+/// service `orders`.
 pub fn configuration(version: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32| {
         json!({
