--- a/crates/sablepass-stand/src/fleet.rs
+++ b/crates/sablepass-stand/src/fleet.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A small fleet: the platform stand-in, targets with agents, entries.
+//! A small fleet of processes for tests and the demo: the stand-in platform, targets with their
+//! agents, and entries.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,17 +12,17 @@
 use crate::client::{self, control, wait_for};
 use crate::process::Process;
 
-/// Numbers the fleets of one test program, for their directories.
+/// Number of fleets of this process, for the names of their directories.
 static FLEETS: AtomicUsize = AtomicUsize::new(0);
 
-/// Timers of the processes: short, so that tests are quick.
+/// Settings lines of the processes. The default has short timers, to keep tests short.
 #[derive(Clone, Debug)]
 pub struct Timers {
     /// Settings lines of the `[node]` table.
     pub node: String,
-    /// Settings lines of an entry.
+    /// Settings lines of entries, before the `[node]` table.
     pub entry: String,
-    /// Settings lines of an agent.
+    /// Settings lines of agents, before the `[node]` table.
     pub agent: String,
 }
 
@@ -35,26 +36,28 @@
     }
 }
 
-/// A target with its agent, and a proxy before each if asked for.
+/// A target with its agent, and optionally a proxy in front of the agent.
 #[derive(Debug)]
 pub struct Target {
-    /// Qualified name.
+    /// Qualified name, `PARTNER/NAME`.
     pub name: String,
-    /// Its hall.
+    /// Data hall.
     pub hall: String,
-    /// Where the engine or service serves: address, and path if it shares one.
+    /// Base URL of the engine or service without the scheme: its address, and a path if it is
+    /// a member of a group.
     pub base: String,
-    /// The engine or service; none if it belongs to a group.
+    /// The engine or service; `None` if it belongs to a group.
     pub server: Option<Process>,
-    /// Its agent.
+    /// The agent of the target.
     pub agent: Process,
     /// The proxy between entries and the agent.
     pub proxy: Option<Process>,
+    /// Settings file of the agent.
     config: PathBuf,
 }
 
 impl Target {
-    /// The log of what it ran.
+    /// Run log of the engine or service.
     pub fn runs(&self) -> Vec<serde_json::Value> {
         let (addr, path) = self.base.split_once('/').unwrap_or((&self.base, ""));
         let path = if path.is_empty() { String::new() } else { format!("/{path}") };
@@ -62,35 +65,38 @@
         log.as_array().cloned().unwrap_or_default()
     }
 
-    /// Has its engine name what it takes a second; none if as many as come.
-    pub fn name_limit(&self, a_second: Option<f64>) {
-        let text = a_second.map_or("none".to_owned(), |it| it.to_string());
+    /// Sets the limit that the engine announces, in requests per second; `None` for no limit.
+    pub fn name_limit(&self, per_second: Option<f64>) {
+        let text = per_second.map_or("none".to_owned(), |it| it.to_string());
         control(&self.base, "POST", "/control/limit", &text);
     }
 
-    /// When its engine turned requests away and asked for a rest.
+    /// Times at which the engine refused requests in mode `rest`, in milliseconds since the Unix
+    /// epoch.
     pub fn turned(&self) -> Vec<u64> {
         let turned = control(&self.base, "GET", "/control/turned", "");
         turned.as_array().into_iter().flatten().filter_map(serde_json::Value::as_u64).collect()
     }
 
-    /// Commands the proxy between entries and the agent.
+    /// Sends a command to the proxy between the entries and the agent; returns its status.
     pub fn fault(&self, command: &str) -> serde_json::Value {
-        let proxy = self.proxy.as_ref().expect("the target was started with a proxy");
+        let proxy = self.proxy.as_ref().expect("the target was started without a proxy");
         control(&proxy.addr("control"), "POST", "/control", command)
     }
 
-    /// The engine or service, where the target has one of its own.
+    /// The process of the engine or service; panics for a member of a group.
     pub fn server(&mut self) -> &mut Process {
-        self.server.as_mut().expect("the target has a server of its own")
+        self.server
+            .as_mut()
+            .expect("the target is a member of a group and has no server process of its own")
     }
 
-    /// Commands the engine.
+    /// Sets the mode of the engine.
     pub fn mode(&self, command: &str) {
         control(&self.base, "POST", "/control/mode", command);
     }
 
-    /// Address at which the agent is listed.
+    /// Address of the agent in the instance list: that of the proxy if there is one.
     fn listed(&self) -> String {
         match &self.proxy {
             Some(it) => it.addr("listen"),
@@ -99,35 +105,35 @@
     }
 }
 
-/// What a target is.
+/// Kind of server behind a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Serves {
-    /// A model engine with this step in milliseconds.
+    /// A model engine with this duration of a step, in milliseconds.
     Model(u64),
-    /// A plain service with this delay in milliseconds.
+    /// A plain service with this duration of a call, in milliseconds.
     Service(u64),
 }
 
-/// The fleet. Everything ends when it is dropped.
+/// A fleet. All processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     dir: PathBuf,
     timers: Timers,
-    /// The platform stand-in.
+    /// The stand-in platform.
     pub platform: Process,
-    /// Targets in the order they were added.
+    /// Targets, in the order of their addition.
     pub targets: Vec<Target>,
-    /// Entries in the order they were added, with their names.
+    /// Entries with their names, in the order of their addition.
     pub entries: Vec<(String, Process)>,
 }
 
 impl Fleet {
-    /// Starts the platform.
+    /// Starts the stand-in platform, without targets and entries.
     pub fn open(timers: Timers) -> Self {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed);
         let name = format!("sablepass-{}-{number}", std::process::id());
         let dir = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&dir).expect("a directory for settings");
+        std::fs::create_dir_all(&dir).expect("the directory for settings can be created");
         let platform = Process::spawn("sablepass-stand", &["platform"]);
         Self { dir, timers, platform, targets: Vec::new(), entries: Vec::new() }
     }
@@ -137,47 +143,49 @@
         format!("http://{}", self.platform.addr("http"))
     }
 
-    /// Publishes a document; its revision.
+    /// Publishes a configuration document; returns its revision.
     pub fn publish(&self, key: &str, toml: &str) -> u64 {
         let path = format!("/v1/config/{key}");
         let answer = control(&self.platform.addr("http"), "PUT", &path, toml);
-        answer["revision"].as_u64().expect("the platform takes documents")
+        answer["revision"].as_u64().expect("the platform returns a revision for the document")
     }
 
-    /// Commands the platform.
+    /// Sets the mode of the platform.
     pub fn platform_mode(&self, mode: &str) {
         control(&self.platform.addr("http"), "POST", "/control/mode", mode);
     }
 
-    /// Lists an instance.
+    /// Adds or replaces an instance in the instance list.
     pub fn list(&self, name: &str, role: &str, hall: &str, addr: &str, leaving: bool) {
         let line = json!({ "role": role, "hall": hall, "addr": addr, "leaving": leaving });
         let path = format!("/v1/instances/{name}");
         control(&self.platform.addr("http"), "PUT", &path, &line.to_string());
     }
 
-    /// Starts an entry that knows the first entry as a peer to ask.
+    /// Starts an entry with the first entry as its seed; returns its index.
     pub fn add_seeded_entry(&mut self, name: &str, hall: &str) -> usize {
         let seed = self.entries[0].1.addr("peers");
-        let before = self.timers.node.clone();
-        self.timers.node = format!("{before}\nseeds = [{seed:?}]");
+        let original = self.timers.node.clone();
+        self.timers.node = format!("{original}\nseeds = [{seed:?}]");
         let index = self.add_entry(name, hall, "");
-        self.timers.node = before;
+        self.timers.node = original;
         index
     }
 
-    fn settings(&self, name: &str, hall: &str, rest: &str) -> PathBuf {
-        let node = format!(
-            "{rest}\n[node]\nname = {name:?}\nhall = {hall:?}\nlisten = \"127.0.0.1:0\"\n             admin = \"127.0.0.1:0\"\nplatform = {:?}\n{}\n",
+    /// Writes a settings file: `top_level` lines, then the `[node]` table.
+    fn settings(&self, name: &str, hall: &str, top_level: &str) -> PathBuf {
+        let text = format!(
+            "{top_level}\n[node]\nname = {name:?}\nhall = {hall:?}\nlisten = \"127.0.0.1:0\"\n             admin = \"127.0.0.1:0\"\nplatform = {:?}\n{}\n",
             self.platform_url(),
             self.timers.node
         );
         let path = self.dir.join(format!("{}.toml", name.replace('/', "-")));
-        std::fs::write(&path, node).expect("settings can be written");
+        std::fs::write(&path, text).expect("the settings file can be written");
         path
     }
 
-    /// Starts a target with its agent and lists it.
+    /// Starts a target with its agent, and with a proxy if `proxied`, and lists it; returns its
+    /// index.
     pub fn add_target(&mut self, name: &str, hall: &str, serves: Serves, proxied: bool) -> usize {
         let server = match serves {
             Serves::Model(step) => {
@@ -192,7 +200,8 @@
         self.add_agent(name, hall, &base, engine, Some(server), proxied)
     }
 
-    /// Starts an agent for a target that serves at `base`, and lists it.
+    /// Starts an agent for a target that serves at `base`, and lists it; returns the target's
+    /// index.
     fn add_agent(
         &mut self,
         name: &str,
@@ -202,8 +211,9 @@
         server: Option<Process>,
         proxied: bool,
     ) -> usize {
-        let rest = format!("target = \"http://{base}\"\nengine = {engine}\n{}", self.timers.agent);
-        let config = self.settings(name, hall, &rest);
+        let top_level =
+            format!("target = \"http://{base}\"\nengine = {engine}\n{}", self.timers.agent);
+        let config = self.settings(name, hall, &top_level);
         let agent = Process::spawn("sablepass-agent", &["--config", &config.to_string_lossy()]);
         let proxy = proxied.then(|| {
             let to = agent.addr("peers");
@@ -217,7 +227,7 @@
         self.targets.len() - 1
     }
 
-    /// Kills a target's agent and starts a new one, listed anew. A proxy is not kept.
+    /// Kills the agent of a target, starts a new one without a proxy, and lists its address.
     pub fn restart_agent(&mut self, index: usize) {
         let target = &mut self.targets[index];
         target.agent.kill();
@@ -228,7 +238,8 @@
         self.list(&target.name, "agent", &target.hall, &target.listed(), false);
     }
 
-    /// Starts a group's engines, and an agent for each member `PARTNER/PREFIXn`.
+    /// Starts the stand-in of a group, and for each member n a proxied agent with the name
+    /// `{prefix}n`. `args` are additional arguments of the stand-in.
     pub fn add_group(
         &mut self,
         prefix: &str,
@@ -237,9 +248,9 @@
         args: &[&str],
     ) -> Process {
         let count = members.to_string();
-        let mut all = vec!["group", "--members", &count];
-        all.extend(args);
-        let server = Process::spawn("sablepass-stand", &all);
+        let mut arguments = vec!["group", "--members", &count];
+        arguments.extend(args);
+        let server = Process::spawn("sablepass-stand", &arguments);
         for index in 0..members {
             let base = format!("{}/member/{index}", server.addr("http"));
             self.add_agent(&format!("{prefix}{index}"), hall, &base, true, None, true);
@@ -247,31 +258,32 @@
         server
     }
 
-    /// Starts an entry and lists it.
+    /// Starts an entry with additional settings lines, and lists it; returns its index.
     pub fn add_entry(&mut self, name: &str, hall: &str, more: &str) -> usize {
-        let rest = format!("http = \"127.0.0.1:0\"\n{}\n{more}", self.timers.entry);
-        let config = self.settings(name, hall, &rest);
+        let top_level = format!("http = \"127.0.0.1:0\"\n{}\n{more}", self.timers.entry);
+        let config = self.settings(name, hall, &top_level);
         let entry = Process::spawn("sablepass-entry", &["--config", &config.to_string_lossy()]);
         self.list(name, "entry", hall, &entry.addr("peers"), false);
         self.entries.push((name.to_owned(), entry));
         self.entries.len() - 1
     }
 
-    /// Where callers reach an entry.
+    /// Address at which an entry serves callers.
     pub fn http(&self, entry: usize) -> String {
         self.entries[entry].1.addr("http")
     }
 
-    /// An entry's admin address.
+    /// Admin address of an entry.
     pub fn admin(&self, entry: usize) -> String {
         self.entries[entry].1.addr("admin")
     }
 
-    /// Waits until every entry can use so many targets at a revision or later.
+    /// Waits until every entry has at least `targets` usable targets, and all entries and agents
+    /// have `revision` or a later one.
     pub fn settle(&self, targets: usize, revision: u64) {
         for (name, entry) in &self.entries {
             let admin = entry.addr("admin");
-            wait_for(&format!("{name} settles"), || {
+            wait_for(&format!("{name} to have its configuration and targets"), || {
                 let status = control(&admin, "GET", "/status", "");
                 let usable = status["targets"].as_array().map_or(0, |it| {
                     it.iter().filter(|it| it["usable"].as_bool() == Some(true)).count()
@@ -281,14 +293,14 @@
         }
         for target in &self.targets {
             let admin = target.agent.addr("admin");
-            wait_for(&format!("{} settles", target.name), || {
+            wait_for(&format!("{} to have its configuration", target.name), || {
                 let status = control(&admin, "GET", "/status", "");
                 status["revision"].as_u64() >= Some(revision)
             });
         }
     }
 
-    /// A counter of an entry.
+    /// Value of a metric of an entry, summed over labels that contain `label`.
     pub fn entry_metric(&self, entry: usize, name: &str, label: &str) -> f64 {
         client::metric(&self.admin(entry), name, label)
     }
@@ -296,7 +308,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Left-over settings do no harm.
+        // Settings that cannot be removed are left behind; nothing reads them again.
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
