--- a/crates/sablepass-stand/src/lib.rs
+++ b/crates/sablepass-stand/src/lib.rs
@@ -1,9 +1,10 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What tests, the demo and measurements share: starting a small fleet of
-//! real processes on free loopback ports, and calling it; and the same for a
-//! [`site`] of the users' platform.
+//! Test support shared by the integration tests, the demo and `sablepass-load`.
+//!
+//! [`fleet`] starts real processes on free loopback ports with the stand-in platform, and
+//! [`client`] calls them. [`site`] does the same with stand-ins of the users' platform.
 
 pub mod beside;
 pub mod client;
