--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -302,7 +302,7 @@
     }
 
     /// Makes the replica report that it is a rank of a group.
-    pub fn tell(&self, group: Group) {
+    pub fn report_group(&self, group: Group) {
         self.lock().group = Some(group);
     }
 
--- a/crates/sablepass-stand/tests/asleep.rs
+++ b/crates/sablepass-stand/tests/asleep.rs
@@ -85,8 +85,8 @@
 fn verify_work_goes_to_the_group_that_makes_steps() {
     let Beside { site, agents: _agents, .. } = Beside::spawn(MACHINES);
     let group = |steps| Group { open: true, size: 1, steps };
-    site.replicas[0].tell(group(false));
-    site.replicas[1..].iter().for_each(|it| it.tell(group(true)));
+    site.replicas[0].report_group(group(false));
+    site.replicas[1..].iter().for_each(|it| it.report_group(group(true)));
     let mut asked = 0;
     let mut next = || {
         asked += 1;
@@ -99,7 +99,7 @@
         let before = next();
         known(before, &mut next)
     });
-    site.replicas[0].tell(group(true));
+    site.replicas[0].report_group(group(true));
     let before = site.replicas[0].runs().len();
     wait_for("work comes back once it goes on", || next() > before);
 }
@@ -110,7 +110,7 @@
 fn verify_an_entry_that_wakes_begins_nothing_whose_time_is_over() {
     let Beside { mut site, agents: _agents, .. } = Beside::spawn(MACHINES);
     let closed = Group { open: false, size: MACHINES as u32, steps: false };
-    site.replicas.iter().for_each(|it| it.tell(closed));
+    site.replicas.iter().for_each(|it| it.report_group(closed));
     let admin = site.entries[0].addr("admin");
     wait_for("the group is closed", || {
         metric(&admin, "sablepass_targets", "state=\"usable\"") < 1.0
@@ -125,7 +125,7 @@
     thread::sleep(Duration::from_millis(100));
     site.entries[0].pause();
     let open = Group { open: true, ..closed };
-    site.replicas.iter().for_each(|it| it.tell(Group { steps: true, ..open }));
+    site.replicas.iter().for_each(|it| it.report_group(Group { steps: true, ..open }));
     thread::sleep(Duration::from_millis(2_500));
     site.entries[0].wake();
     callers.into_iter().for_each(|it| drop(it.join()));
--- a/crates/sablepass-stand/tests/broken.rs
+++ b/crates/sablepass-stand/tests/broken.rs
@@ -21,7 +21,7 @@
 fn group() -> Beside {
     let beside = Beside::spawn(RANKS);
     let open = Group { open: true, size: RANKS as u32, steps: true };
-    beside.site.replicas.iter().for_each(|it| it.tell(open));
+    beside.site.replicas.iter().for_each(|it| it.report_group(open));
     wait_for("agents know the group", || send(&beside.site, "first") == 200);
     std::thread::sleep(KNOWN);
     beside
--- a/crates/sablepass-stand/tests/closed.rs
+++ b/crates/sablepass-stand/tests/closed.rs
@@ -30,7 +30,7 @@
     let replica = Replica::spawn_at("orders", machine);
     site.list(&replica, "ready");
     site.replicas.push(replica);
-    site.replicas[0].tell(Group { open: false, size, steps: false });
+    site.replicas[0].report_group(Group { open: false, size, steps: false });
     let mut it = ranks::Group::configuration(2);
     it["services"][0]["engine"]["form_ms"] = (form as f64).into();
     for route in it["routes"].as_array_mut().expect("routes") {
@@ -64,7 +64,7 @@
     let admin = fleet.site.entries[0].addr("admin");
     wait_for("the request waits", || metric(&admin, "sablepass_in_flight", "") >= 1.0);
     assert_eq!(fleet.site.runs("waits"), 0);
-    fleet.site.replicas[0].tell(Group { open: true, size: 1, steps: true });
+    fleet.site.replicas[0].report_group(Group { open: true, size: 1, steps: true });
     let answer = asked.join().expect("the caller ends");
     assert_eq!((answer.status, fleet.site.runs("waits")), (200, 1), "{answer:?}");
 }
@@ -123,7 +123,7 @@
     wait_for("the entry knows that its caller left", || {
         metric(&admin, "sablepass_refusals_total", "caller-gone") >= 1.0
     });
-    fleet.site.replicas[0].tell(Group { open: true, size: 1, steps: true });
+    fleet.site.replicas[0].report_group(Group { open: true, size: 1, steps: true });
     wait_for("the group is open", || {
         ask("POST", "/once/x", "open", "claim").send(&fleet.site.http(0)).status == 200
     });
--- a/crates/sablepass-stand/tests/crashing.rs
+++ b/crates/sablepass-stand/tests/crashing.rs
@@ -149,7 +149,7 @@
     let site = &beside.site;
     is_fatal_to(&site.replicas);
     let group = Group { open: true, size: 4, steps: true };
-    site.replicas.iter().for_each(|it| it.tell(group));
+    site.replicas.iter().for_each(|it| it.report_group(group));
     let admin = site.entries[0].addr("admin");
     send(site, 0, "once", "first", FATAL);
     wait_for("its end is known", || metric(&admin, "sablepass_deaths_total", "") >= 1.0);
