--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -190,7 +190,7 @@
     }
 
     /// Starts a new incarnation: a replica with the same id and IP address and another port.
-    pub fn reborn(&self) -> Self {
+    pub fn new_incarnation(&self) -> Self {
         Self::spawn_as(&self.service, self.addr.ip(), self.id.clone())
     }
 
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -218,7 +218,7 @@
         self.ready = ready;
         let ended: Vec<usize> = ended;
         for it in ended {
-            let next = self.site.replicas[it].reborn();
+            let next = self.site.replicas[it].new_incarnation();
             self.list_replica(&next);
         }
     }
--- a/crates/sablepass-stand/tests/leaving.rs
+++ b/crates/sablepass-stand/tests/leaving.rs
@@ -135,7 +135,7 @@
     let leaving = site.replicas[0].clone();
     tell(&site, &leaving);
     leaving.end();
-    let next = leaving.reborn();
+    let next = leaving.new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
     wait_for("its next life is used", || {
--- a/crates/sablepass-stand/tests/limited.rs
+++ b/crates/sablepass-stand/tests/limited.rs
@@ -125,7 +125,7 @@
     site.replicas[0].name_limit(Some(0.1));
     call(&site, 2, "first", Duration::from_millis(500));
     site.replicas[0].end();
-    let next = site.replicas[0].reborn();
+    let next = site.replicas[0].new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
     wait_for("its next life gets as many as come", || {
--- a/crates/sablepass-stand/tests/reborn.rs
+++ b/crates/sablepass-stand/tests/reborn.rs
@@ -32,7 +32,7 @@
 /// Ends a replica and lists its next life in its place.
 fn restart(site: &mut Site, index: usize) {
     site.replicas[index].end();
-    let next = site.replicas[index].reborn();
+    let next = site.replicas[index].new_incarnation();
     site.list(&next, "ready");
     site.replicas[index] = next;
 }
@@ -96,7 +96,7 @@
         send(&site, "once", &format!("fatal-{round}"), FATAL);
         if site.replicas[0].ended() {
             ended += 1;
-            let next = site.replicas[0].reborn();
+            let next = site.replicas[0].new_incarnation();
             site.list(&next, "ready");
             site.replicas[0] = next;
         }
--- a/crates/sablepass-stand/tests/resting.rs
+++ b/crates/sablepass-stand/tests/resting.rs
@@ -124,7 +124,7 @@
         !site.replicas[0].arrivals().is_empty()
     });
     site.replicas[0].end();
-    let next = site.replicas[0].reborn();
+    let next = site.replicas[0].new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
     wait_for("its next life is used", || {
--- a/crates/sablepass-stand/tests/restored.rs
+++ b/crates/sablepass-stand/tests/restored.rs
@@ -344,7 +344,7 @@
     site.settle(2);
     let copy = site.store.copy();
     site.replicas[0].end();
-    let reborn = site.replicas[0].reborn();
+    let reborn = site.replicas[0].new_incarnation();
     site.list(&reborn, "ready");
     site.settle(2);
     reborn.set(Shed(5_000));
