--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -268,22 +268,22 @@
     }
 
     /// Makes the replica crash when it starts to run a request with this body.
-    pub fn end_on(&self, body: &str) {
+    pub fn crash_on(&self, body: &str) {
         self.lock().crash_body = Some(body.as_bytes().to_vec());
     }
 
     /// Whether the replica has crashed.
-    pub fn ended(&self) -> bool {
-        self.ended_at().is_some()
+    pub fn crashed(&self) -> bool {
+        self.crashed_at().is_some()
     }
 
     /// Time of the crash, in milliseconds since the Unix epoch; `None` if there was none.
-    pub fn ended_at(&self) -> Option<u64> {
+    pub fn crashed_at(&self) -> Option<u64> {
         self.lock().crashed_at
     }
 
     /// Simulates the crash of a process: closes the listening socket and all connections.
-    pub fn end(&self) {
+    pub fn crash(&self) {
         let listen_addr = {
             let mut state = self.lock();
             state.crashed_at.get_or_insert(clock::now());
@@ -423,7 +423,7 @@
                 state.runs.len() - 1
             };
             if self.lock().crash_body.as_ref() == Some(&run.body) {
-                self.end();
+                self.crash();
                 return Ok(());
             }
             if self.run(stream, mode, &mut run).is_err() {
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -194,7 +194,7 @@
 
     /// Lists a replica that has just started, behind a proxy.
     fn list_replica(&mut self, replica: &Replica) {
-        replica.end_on(FATAL);
+        replica.crash_on(FATAL);
         let to = replica.addr.to_string();
         let any = "127.0.0.1:0";
         let proxy = Process::spawn(
@@ -213,7 +213,7 @@
 
     /// Starts replicas that have ended anew under their ids.
     fn restart_replicas(&mut self) {
-        let ended = |it: &usize| self.site.replicas[*it].ended();
+        let ended = |it: &usize| self.site.replicas[*it].crashed();
         let (ended, ready) = std::mem::take(&mut self.ready).into_iter().partition(ended);
         self.ready = ready;
         let ended: Vec<usize> = ended;
@@ -354,7 +354,7 @@
                 None
             }
             Fault::ReplicaReborn => {
-                self.site.replicas[replica.filter(|_| self.ready.len() > LEAST)?].end();
+                self.site.replicas[replica.filter(|_| self.ready.len() > LEAST)?].crash();
                 replica
             }
             Fault::EntryGarbled => {
@@ -486,7 +486,7 @@
     }
 
     fn link(&self, who: usize, command: &str) {
-        if self.site.replicas[who].ended() {
+        if self.site.replicas[who].crashed() {
             return;
         }
         client::control(&self.proxies[who].addr("control"), "POST", "/control", command);
@@ -514,7 +514,7 @@
 /// replica's own does.
 fn end_with(replica: Replica, proxy: u32) {
     std::thread::spawn(move || {
-        while !replica.ended() {
+        while !replica.crashed() {
             std::thread::sleep(WATCHED);
         }
         // The process may have ended already.
--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -117,7 +117,7 @@
         let mut strikes = fleet.strikes.clone();
         let mut fatal = 0;
         for (replica, it) in fleet.site.replicas.iter().enumerate() {
-            if let Some(at) = it.ended_at() {
+            if let Some(at) = it.crashed_at() {
                 let what = Struck::Replica(replica);
                 strikes.push(Strike { what, from: at, until: at + AFTER });
             }
--- a/crates/sablepass-stand/tests/broken.rs
+++ b/crates/sablepass-stand/tests/broken.rs
@@ -41,7 +41,7 @@
 fn verify_nothing_is_sent_to_a_group_that_lost_a_rank() {
     let beside = group();
     let site = &beside.site;
-    site.replicas[0].end();
+    site.replicas[0].crash();
     std::thread::sleep(KNOWN);
     let before = runs(site);
     for number in 0..8 {
@@ -60,7 +60,7 @@
 fn verify_the_ranks_word_counts_once_they_have_noticed() {
     let beside = group();
     let site = &beside.site;
-    site.replicas[0].end();
+    site.replicas[0].crash();
     std::thread::sleep(KNOWN);
     let refused = send(site, "refused");
     assert_eq!(refused, 503);
@@ -72,5 +72,5 @@
     let took = began.elapsed();
     assert!((1_200..2_400).contains(&took.as_millis()), "after {took:?}");
     let listed: &Replica = &site.replicas[0];
-    assert!(listed.ended());
+    assert!(listed.crashed());
 }
--- a/crates/sablepass-stand/tests/crashing.rs
+++ b/crates/sablepass-stand/tests/crashing.rs
@@ -28,7 +28,7 @@
 const LEASE: Duration = Duration::from_millis(300);
 
 fn is_fatal_to(replicas: &[Replica]) {
-    replicas.iter().for_each(|it| it.end_on(FATAL));
+    replicas.iter().for_each(|it| it.crash_on(FATAL));
 }
 
 /// Entries before six targets that end as they begin to run the request.
@@ -43,7 +43,7 @@
 }
 
 fn ended(site: &Site) -> usize {
-    site.replicas.iter().filter(|it| it.ended()).count()
+    site.replicas.iter().filter(|it| it.crashed()).count()
 }
 
 /// Takes targets that ended off the list, and starts as many under new ids,
@@ -53,12 +53,12 @@
         thread::sleep(LEASE);
         let fresh = ended(site) - *known;
         *known += fresh;
-        for it in site.replicas.iter().filter(|it| it.ended()) {
+        for it in site.replicas.iter().filter(|it| it.crashed()) {
             site.store.remove(&format!("servers/{}", it.id));
         }
         for _ in 0..fresh {
             let index = site.add_replica("orders");
-            site.replicas[index].end_on(FATAL);
+            site.replicas[index].crash_on(FATAL);
         }
         let live = site.replicas.len() - *known;
         site.settle(live);
@@ -216,7 +216,7 @@
 #[test]
 fn verify_what_two_targets_ended_under_by_chance_is_served_again() {
     let site = two_end_at_once();
-    site.replicas.iter().for_each(|it| it.end_on("something else"));
+    site.replicas.iter().for_each(|it| it.crash_on("something else"));
     thread::sleep(PAUSED);
     wait_for("all entries serve it", || {
         (0..3).all(|entry| send(&site, entry, "once", "innocent", FATAL).status == 200)
--- a/crates/sablepass-stand/tests/leaving.rs
+++ b/crates/sablepass-stand/tests/leaving.rs
@@ -134,7 +134,7 @@
     let mut site = site(2);
     let leaving = site.replicas[0].clone();
     tell(&site, &leaving);
-    leaving.end();
+    leaving.crash();
     let next = leaving.new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
--- a/crates/sablepass-stand/tests/limited.rs
+++ b/crates/sablepass-stand/tests/limited.rs
@@ -124,7 +124,7 @@
     let mut site = common::site(2, 2);
     site.replicas[0].name_limit(Some(0.1));
     call(&site, 2, "first", Duration::from_millis(500));
-    site.replicas[0].end();
+    site.replicas[0].crash();
     let next = site.replicas[0].new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
--- a/crates/sablepass-stand/tests/reborn.rs
+++ b/crates/sablepass-stand/tests/reborn.rs
@@ -31,7 +31,7 @@
 
 /// Ends a replica and lists its next life in its place.
 fn restart(site: &mut Site, index: usize) {
-    site.replicas[index].end();
+    site.replicas[index].crash();
     let next = site.replicas[index].new_incarnation();
     site.list(&next, "ready");
     site.replicas[index] = next;
@@ -92,9 +92,9 @@
     let mut site = site(1);
     let mut ended = 0;
     for round in 0..8 {
-        site.replicas[0].end_on(FATAL);
+        site.replicas[0].crash_on(FATAL);
         send(&site, "once", &format!("fatal-{round}"), FATAL);
-        if site.replicas[0].ended() {
+        if site.replicas[0].crashed() {
             ended += 1;
             let next = site.replicas[0].new_incarnation();
             site.list(&next, "ready");
--- a/crates/sablepass-stand/tests/resting.rs
+++ b/crates/sablepass-stand/tests/resting.rs
@@ -123,7 +123,7 @@
         send(&site, 0, "safe", "0-first");
         !site.replicas[0].arrivals().is_empty()
     });
-    site.replicas[0].end();
+    site.replicas[0].crash();
     let next = site.replicas[0].new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
--- a/crates/sablepass-stand/tests/restored.rs
+++ b/crates/sablepass-stand/tests/restored.rs
@@ -343,7 +343,7 @@
     site.add_entry("");
     site.settle(2);
     let copy = site.store.copy();
-    site.replicas[0].end();
+    site.replicas[0].crash();
     let reborn = site.replicas[0].new_incarnation();
     site.list(&reborn, "ready");
     site.settle(2);
