--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -252,7 +252,7 @@
     }
 
     /// The same replica under another id, as for a predecessor that had the address.
-    pub fn named(&self, id: &str) -> Self {
+    pub fn with_id(&self, id: &str) -> Self {
         Self { id: id.to_owned(), ..self.clone() }
     }
 
--- a/crates/sablepass-stand/tests/site.rs
+++ b/crates/sablepass-stand/tests/site.rs
@@ -200,7 +200,7 @@
 #[test]
 fn verify_address_of_another_replica_runs_nothing_twice() {
     let site = site(2);
-    let old = site.replicas[0].named("i-gone");
+    let old = site.replicas[0].with_id("i-gone");
     site.list(&old, "ready");
     site.settle(3);
     for round in 0..10 {
@@ -215,7 +215,7 @@
 fn verify_successor_at_an_address_gets_the_work_at_once() {
     let mut site = site(0);
     let replica = Replica::spawn("orders");
-    site.list(&replica.named("i-predecessor"), "ready");
+    site.list(&replica.with_id("i-predecessor"), "ready");
     site.settle(1);
     site.list(&replica, "ready");
     site.settle(2);
