--- a/crates/sablepass-stand/src/fleet.rs
+++ b/crates/sablepass-stand/src/fleet.rs
@@ -66,7 +66,7 @@
     }
 
     /// Sets the limit that the engine announces, in requests per second; `None` for no limit.
-    pub fn name_limit(&self, per_second: Option<f64>) {
+    pub fn set_limit(&self, per_second: Option<f64>) {
         let text = per_second.map_or("none".to_owned(), |it| it.to_string());
         control(&self.base, "POST", "/control/limit", &text);
     }
--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -327,17 +327,17 @@
     }
 
     /// Sets the limit that responses announce, in requests per second; `None` for no limit.
-    pub fn name_limit(&self, per_second: Option<f64>) {
+    pub fn set_limit(&self, per_second: Option<f64>) {
         self.lock().limit = per_second;
     }
 
     /// Makes only one in `responses` responses announce the limit.
-    pub fn name_limit_in(&self, responses: u32) {
+    pub fn set_limit_interval(&self, responses: u32) {
         self.lock().limit_interval = responses;
     }
 
     /// Makes all responses announce this text as the limit, which may be invalid.
-    pub fn garble_limit(&self, text: &str) {
+    pub fn set_limit_text(&self, text: &str) {
         self.name_field(Some(&format!("server-limit: {text}")));
     }
 
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -333,7 +333,7 @@
                 replica
             }
             Fault::ReplicaLimits(limit) => {
-                self.site.replicas[replica?].name_limit(Some(f64::from(limit) / TEN_SECONDS));
+                self.site.replicas[replica?].set_limit(Some(f64::from(limit) / TEN_SECONDS));
                 replica
             }
             Fault::ReplicaTells => {
@@ -416,7 +416,7 @@
             Fault::ReplicaIs(_) | Fault::ReplicaSheds(_) => {
                 self.site.replicas[who].set(replica::Mode::Good)
             }
-            Fault::ReplicaLimits(_) => self.site.replicas[who].name_limit(None),
+            Fault::ReplicaLimits(_) => self.site.replicas[who].set_limit(None),
             Fault::ReplicaLeaves | Fault::ReplicaTells => {
                 self.draining.retain(|it| *it != who);
                 let id = self.site.replicas[who].id.clone();
--- a/crates/sablepass-stand/tests/limited.rs
+++ b/crates/sablepass-stand/tests/limited.rs
@@ -44,7 +44,7 @@
 #[test]
 fn verify_a_target_gets_no_more_than_it_takes() {
     let site = common::site(3, ENTRIES);
-    site.replicas[0].name_limit(Some(1.0));
+    site.replicas[0].set_limit(Some(1.0));
     let answers = call(&site, ENTRIES, "limited", LASTS);
     keeps(&site.replicas[0].arrivals(), 1.0);
     let unserved: Vec<&Answer> = answers.iter().filter(|it| it.status != 200).collect();
@@ -55,8 +55,8 @@
 #[test]
 fn verify_a_limit_holds_that_few_answers_name() {
     let site = common::site(3, 2);
-    site.replicas[0].name_limit(Some(1.0));
-    site.replicas[0].name_limit_in(3);
+    site.replicas[0].set_limit(Some(1.0));
+    site.replicas[0].set_limit_interval(3);
     call(&site, 2, "few", LASTS);
     keeps(&site.replicas[0].arrivals(), 1.0);
 }
@@ -67,7 +67,7 @@
     let site = common::site(2, 1);
     let garbled = &site.replicas[0];
     for text in ["many", "-1", "NaN", "2/s", "1, 2", ""] {
-        garbled.garble_limit(text);
+        garbled.set_limit_text(text);
         let before = garbled.runs().len();
         call(&site, 1, "garbled", Duration::from_millis(400));
         assert!(garbled.runs().len() > before + 5, "{text:?}: it is used as before");
@@ -83,11 +83,11 @@
     let site = common::site(3, 2);
     let limited = &site.replicas[0];
     for limit in [20.0, 2.0, 8.0] {
-        limited.name_limit(Some(limit));
+        limited.set_limit(Some(limit));
         call(&site, 2, &format!("at-{limit}"), LASTS);
         keeps(&limited.arrivals(), limit);
     }
-    limited.name_limit(None);
+    limited.set_limit(None);
     let ended = Instant::now();
     wait_for("all entries know that it is over", || {
         call(&site, 2, "over", Duration::from_millis(200));
@@ -109,7 +109,7 @@
 fn verify_no_list_ends_a_limit() {
     let site = common::site(3, 2);
     let limited = &site.replicas[0];
-    limited.name_limit(Some(1.0));
+    limited.set_limit(Some(1.0));
     call(&site, 2, "first", Duration::from_millis(500));
     site.store.remove(&format!("servers/{}", limited.id));
     site.settle(2);
@@ -122,7 +122,7 @@
 #[test]
 fn verify_a_limit_ends_with_the_life_that_named_it() {
     let mut site = common::site(2, 2);
-    site.replicas[0].name_limit(Some(0.1));
+    site.replicas[0].set_limit(Some(0.1));
     call(&site, 2, "first", Duration::from_millis(500));
     site.replicas[0].crash();
     let next = site.replicas[0].new_incarnation();
@@ -153,7 +153,7 @@
 fn verify_all_of_a_limit_is_used_where_no_other_target_is_there() {
     let site = common::site(2, 3);
     let limits = [2.0, 4.0];
-    let name = |it: (&Replica, f64)| it.0.name_limit(Some(it.1));
+    let name = |it: (&Replica, f64)| it.0.set_limit(Some(it.1));
     site.replicas.iter().zip(limits).for_each(name);
     let answers = call(&site, 1, "one", LASTS);
     let seconds = LASTS.as_secs_f64();
@@ -181,7 +181,7 @@
 fn verify_a_limit_holds_while_entries_come_and_go() {
     let mut site = common::site(3, 4);
     let limited = site.replicas[0].clone();
-    limited.name_limit(Some(1.0));
+    limited.set_limit(Some(1.0));
     for round in 0..3 {
         call(&site, 4, &format!("before-{round}"), Duration::from_secs(2));
         let changed = round + 1;
@@ -206,7 +206,7 @@
     fleet.add_entry("entry-2", "ba-1", "");
     fleet.settle(3, 1);
     let limited = &fleet.targets[0];
-    limited.name_limit(Some(1.0));
+    limited.set_limit(Some(1.0));
     let addrs = [fleet.http(0), fleet.http(1)];
     let until = Instant::now() + LASTS;
     let caller = |addr: &str, label: &str| {
