--- a/crates/sablepass-stand/src/keys.rs
+++ b/crates/sablepass-stand/src/keys.rs
@@ -201,12 +201,12 @@
     }
 
     /// Sets the value of the `Store-Era` header; `None` leaves the header out.
-    pub fn name_era(&self, text: Option<&str>) {
+    pub fn set_era_header(&self, text: Option<&str>) {
         self.lock().era = text.map(str::to_owned);
     }
 
     /// Adds a header of this name to all responses.
-    pub fn name_field(&self, name: &'static str) {
+    pub fn set_extra_header(&self, name: &'static str) {
         self.lock().extra_header = Some(name);
     }
 
--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -338,11 +338,11 @@
 
     /// Makes all responses announce this text as the limit, which may be invalid.
     pub fn set_limit_text(&self, text: &str) {
-        self.name_field(Some(&format!("server-limit: {text}")));
+        self.set_extra_header(Some(&format!("server-limit: {text}")));
     }
 
     /// Adds a header line, `name: value`, to all responses; `None` removes it.
-    pub fn name_field(&self, line: Option<&str>) {
+    pub fn set_extra_header(&self, line: Option<&str>) {
         self.lock().extra_header = line.map(str::to_owned);
     }
 
--- a/crates/sablepass-stand/tests/limited.rs
+++ b/crates/sablepass-stand/tests/limited.rs
@@ -138,7 +138,7 @@
 #[test]
 fn verify_fields_that_nobody_reads_are_counted() {
     let site = common::site(2, 1);
-    site.replicas[0].name_field(Some("server-mood: low"));
+    site.replicas[0].set_extra_header(Some("server-mood: low"));
     call(&site, 1, "mood", Duration::from_millis(500));
     let admin = site.entries[0].addr("admin");
     assert!(metric(&admin, "sablepass_fields_unread_total", "field=\"server-mood\"") > 1.0);
--- a/crates/sablepass-stand/tests/restored.rs
+++ b/crates/sablepass-stand/tests/restored.rs
@@ -203,7 +203,7 @@
     let bad = ["", "-1", "two", "18446744073709551615", "18446744073709551616"];
     let texts = bad.into_iter().map(Some).chain([None, Some("1")]);
     for (version, text) in (2..).zip(texts) {
-        site.store.name_era(text);
+        site.store.set_era_header(text);
         site.configure(&with_route(version));
         wait_in_force(&site, version);
     }
@@ -304,7 +304,7 @@
         let admin = site.entries[0].addr("admin");
         metric(&admin, "sablepass_fields_unread_total", &format!("field=\"{field}\""))
     };
-    site.store.name_field("Store-Mood");
+    site.store.set_extra_header("Store-Mood");
     site.configure(&with_route(2));
     wait_for("it is counted", || count("store-mood") >= 1.0);
     assert_eq!(count("store-era"), 0.0);
