--- a/crates/sablepass-stand/src/keys.rs
+++ b/crates/sablepass-stand/src/keys.rs
@@ -155,7 +155,7 @@
     }
 
     /// Discards the history, so that watches from an earlier revision are refused with 410.
-    pub fn forget(&self) {
+    pub fn discard_history(&self) {
         let mut state = self.lock();
         state.revision += 1;
         state.history_start = state.revision;
@@ -163,7 +163,7 @@
     }
 
     /// Revision at which a key was last written or removed.
-    pub fn written(&self, key: &str) -> Option<u64> {
+    pub fn key_revision(&self, key: &str) -> Option<u64> {
         self.lock().items.get(key).map(|it| it.revision)
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Sets the page size of range reads, and alternates between two eras from page to page.
-    pub fn flip(&self, items: usize) {
+    pub fn alternate_eras(&self, items: usize) {
         let mut state = self.lock();
         state.page_items = items;
         state.era_changes_per_page = true;
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -379,7 +379,7 @@
             }
             Fault::StoreForgets => {
                 self.strike(Struck::Store, it);
-                self.site.store.forget();
+                self.site.store.discard_history();
                 None
             }
             Fault::StoreRestored => {
@@ -501,10 +501,10 @@
 /// Removes a line once its lease is over, unless it is written meanwhile: a replica may start
 /// anew under its id.
 fn lapse(store: keys::Store, key: String) {
-    let written = store.written(&key);
+    let written = store.key_revision(&key);
     std::thread::spawn(move || {
         std::thread::sleep(LEASE);
-        if store.written(&key) == written {
+        if store.key_revision(&key) == written {
             store.remove(&key);
         }
     });
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -42,7 +42,7 @@
         match self {
             Self::Nothing => {}
             Self::Is(mode) => store.set(mode),
-            Self::Forgets => store.forget(),
+            Self::Forgets => store.discard_history(),
             Self::Restored | Self::RestoredTwice => store.set(Mode::Down),
         }
     }
--- a/crates/sablepass-stand/tests/listed.rs
+++ b/crates/sablepass-stand/tests/listed.rs
@@ -24,14 +24,14 @@
     for left in [3, 2] {
         site.store.set(keys::Mode::Down);
         site.store.remove(&format!("servers/{}", site.replicas[left].id));
-        site.store.forget();
+        site.store.discard_history();
         site.store.set(keys::Mode::Up);
         for entry in 0..ENTRIES {
             wait_for("an entry knows what is left", || listed(&site, entry) == left as f64);
         }
     }
     let added = site.add_replica("orders");
-    site.store.forget();
+    site.store.discard_history();
     for entry in 0..ENTRIES {
         wait_for("an entry knows what came", || listed(&site, entry) == 3.0);
     }
--- a/crates/sablepass-stand/tests/restored.rs
+++ b/crates/sablepass-stand/tests/restored.rs
@@ -326,7 +326,7 @@
 #[test]
 fn verify_pages_of_changing_eras_are_not_asked_for_without_a_pause() {
     let mut site = site(3);
-    site.store.flip(1);
+    site.store.alternate_eras(1);
     site.add_entry("");
     let before = site.store.calls();
     thread::sleep(Duration::from_secs(2));
--- a/crates/sablepass-stand/tests/site.rs
+++ b/crates/sablepass-stand/tests/site.rs
@@ -355,7 +355,7 @@
     let mut configuration = site::configuration(9);
     configuration["routes"][1]["pathPrefix"] = json!("/new/");
     site.configure(&configuration);
-    site.store.forget();
+    site.store.discard_history();
     site.store.set(keys::Mode::Up);
     wait_for("the change", || ask("GET", "/new/x", "new", "").send(&site.http(0)).status == 200);
     assert_eq!(ask("GET", "/safe/x", "old", "").send(&site.http(0)).status, 404);
