--- a/crates/sablepass-stand/src/keys.rs
+++ b/crates/sablepass-stand/src/keys.rs
@@ -57,7 +57,7 @@
     /// The era changes after each page of a range read.
     era_changes_per_page: bool,
     /// Backup and era to restore after the next page that has a successor.
-    restore_after_page: Option<(Copy, u64)>,
+    restore_after_page: Option<(Backup, u64)>,
     /// Number of calls received.
     calls: u64,
 }
@@ -71,15 +71,15 @@
 
 /// Backup of the contents of the store at one revision.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct Backup {
     revision: u64,
     items: BTreeMap<String, Item>,
 }
 
 impl State {
-    fn restore(&mut self, copy: &Copy, era: u64) {
-        self.revision = copy.revision;
-        self.items = copy.items.clone();
+    fn restore(&mut self, backup: &Backup, era: u64) {
+        self.revision = backup.revision;
+        self.items = backup.items.clone();
         self.era = Some(era.to_string());
     }
 }
@@ -173,24 +173,24 @@
     }
 
     /// Takes a backup of the contents.
-    pub fn copy(&self) -> Copy {
+    pub fn backup(&self) -> Backup {
         let state = self.lock();
-        Copy { revision: state.revision, items: state.items.clone() }
+        Backup { revision: state.revision, items: state.items.clone() }
     }
 
     /// Replaces the contents by a backup and continues in this era. Revisions later than the
     /// backup are assigned a second time.
-    pub fn restore(&self, copy: &Copy, era: u64) {
-        self.lock().restore(copy, era);
+    pub fn restore(&self, backup: &Backup, era: u64) {
+        self.lock().restore(backup, era);
         self.state.1.notify_all();
     }
 
     /// Sets the page size of range reads, and restores the backup between the first and the second
     /// page of the next range read.
-    pub fn restore_within_read(&self, items: usize, copy: &Copy, era: u64) {
+    pub fn restore_within_read(&self, items: usize, backup: &Backup, era: u64) {
         let mut state = self.lock();
         state.page_items = items;
-        state.restore_after_page = Some((copy.clone(), era));
+        state.restore_after_page = Some((backup.clone(), era));
     }
 
     /// Sets the page size of range reads, and alternates between two eras from page to page.
@@ -283,8 +283,8 @@
             let era = if state.era.as_deref() == Some("2") { "3" } else { "2" };
             state.era = Some(era.to_owned());
         }
-        if more && let Some((copy, era)) = state.restore_after_page.take() {
-            state.restore(&copy, era);
+        if more && let Some((backup, era)) = state.restore_after_page.take() {
+            state.restore(&backup, era);
             self.state.1.notify_all();
         }
         reply
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -95,7 +95,7 @@
     /// When each added route was declared, the first one first.
     pub(super) routes: Vec<u64>,
     /// Copies of the store, the oldest first, with their times.
-    copies: Vec<(u64, keys::Copy)>,
+    copies: Vec<(u64, keys::Backup)>,
     era: u64,
     /// Entries that did not end in time after they were asked to stop.
     pub(super) stuck: Vec<usize>,
@@ -263,7 +263,7 @@
         turns.sort_unstable();
         let mut struck: Vec<Option<usize>> = vec![None; plan.len()];
         for (at, begins, number) in turns {
-            self.copies.push((clock::now(), self.site.store.copy()));
+            self.copies.push((clock::now(), self.site.store.backup()));
             let due = started + Duration::from_millis(at);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             if begins {
@@ -449,7 +449,7 @@
     /// Restores the store from a copy. What it lost is written again a little later, and lines
     /// of replicas that are gone lapse.
     fn restore(&mut self) {
-        let old = |it: &&(u64, keys::Copy)| clock::now() >= it.0 + COPY_AGE;
+        let old = |it: &&(u64, keys::Backup)| clock::now() >= it.0 + COPY_AGE;
         let Some(copy) = self.copies.iter().rfind(old).or(self.copies.first()) else { return };
         self.era += 1;
         self.site.store.restore(&copy.1, self.era);
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -77,7 +77,7 @@
 fn verify_an_entry_that_starts_beside_a_restore_uses_nothing_that_left() {
     for way in [Way::Draining, Way::Removed] {
         let mut running = Running::start(3);
-        let copy = running.site.store.copy();
+        let copy = running.site.store.backup();
         let leaving = running.site.replicas[0].clone();
         let left = running.leave(&leaving, way);
         thread::sleep(Duration::from_millis(1_500));
@@ -99,7 +99,7 @@
 fn verify_an_entry_that_wakes_beside_a_restore_brings_back_nothing_that_left() {
     for way in [Way::Draining, Way::Removed] {
         let running = Running::start(3);
-        let copy = running.site.store.copy();
+        let copy = running.site.store.backup();
         let leaving = running.site.replicas[0].clone();
         let sleeper = ENTRIES - 1;
         running.site.entries[sleeper].pause();
@@ -122,7 +122,7 @@
     let running = Running::start(4);
     let [leaving, lost] = [0, 1].map(|it| running.site.replicas[it].clone());
     running.leave(&lost, Way::Removed);
-    let copy = running.site.store.copy();
+    let copy = running.site.store.backup();
     running.site.list(&lost, "ready");
     thread::sleep(Duration::from_secs(1));
     let left = running.leave(&leaving, Way::Removed);
@@ -203,7 +203,7 @@
 #[test]
 fn verify_a_copy_that_lists_an_earlier_life_takes_no_word_back() {
     let (mut site, leaving) = site_with_an_earlier_life();
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.list(&leaving, "ready");
     let known = || site.entries[0].log().iter().any(|it| it["event"] == "target started anew");
     wait_for("its present life is known", known);
@@ -266,7 +266,7 @@
         status["instances"].as_u64()
     };
     wait_for("the agent has the list", || knows(&agent) == Some(3));
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.store.remove(&format!("servers/{}", site.replicas[0].id));
     wait_for("the agent knows who left", || knows(&agent) == Some(2));
     site.store.restore(&copy, SECOND);
@@ -287,7 +287,7 @@
         store.set(mode);
         thread::sleep(Duration::from_millis(1_500));
         running.leave(&lapsed, Way::Removed);
-        let copy = store.copy();
+        let copy = store.backup();
         thread::sleep(Duration::from_millis(1_500));
         if restored {
             store.restore(&copy, SECOND);
@@ -311,7 +311,7 @@
 #[test]
 fn verify_an_entry_that_wakes_beside_a_restore_uses_a_target_that_is_back() {
     let running = Running::start(3);
-    let copy = running.site.store.copy();
+    let copy = running.site.store.backup();
     let back = running.site.replicas[0].clone();
     let sleeper = ENTRIES - 1;
     running.leave(&back, Way::Removed);
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use sablepass_edge::clock;
-use sablepass_stand::keys::{Copy, Mode, Store};
+use sablepass_stand::keys::{Backup, Mode, Store};
 use sablepass_stand::replica::Replica;
 
 use crate::common::running::{DRAINS, ENTRIES, Running, SECOND, SEEDS, Way};
@@ -47,7 +47,7 @@
         }
     }
 
-    fn end(self, store: &Store, copy: &Copy) {
+    fn end(self, store: &Store, copy: &Backup) {
         if matches!(self, Self::Restored | Self::RestoredTwice) {
             store.restore(copy, SECOND);
         }
@@ -126,7 +126,7 @@
     let mut unused = running.site.replicas.clone();
     let live: Vec<Replica> = unused.drain(..LIVE).collect();
     let store = running.site.store.clone();
-    let copy = store.copy();
+    let copy = store.backup();
     let mut left = leave(&running, &mut unused, Moment::Before, &WAYS);
     thread::sleep(Duration::from_secs(1));
     trouble.begin(&store);
--- a/crates/sablepass-stand/tests/ranks.rs
+++ b/crates/sablepass-stand/tests/ranks.rs
@@ -246,7 +246,7 @@
 #[test]
 fn verify_agents_are_told_bounds_of_a_restored_store() {
     let fleet = fleet(true);
-    let copy = fleet.site.store.copy();
+    let copy = fleet.site.store.backup();
     for version in 3..6 {
         fleet.site.configure(&Group::configuration(version));
     }
--- a/crates/sablepass-stand/tests/restored.rs
+++ b/crates/sablepass-stand/tests/restored.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use sablepass_stand::client::{metric, wait_for};
-use sablepass_stand::keys::{Copy, Mode};
+use sablepass_stand::keys::{Backup, Mode};
 use sablepass_stand::replica::Mode::{Good, Shed};
 use sablepass_stand::site::{self, KEY, Site, ask};
 use serde_json::{Value, json};
@@ -54,7 +54,7 @@
 }
 
 /// The store is away for a moment and comes back from a copy.
-fn restore(site: &Site, copy: &Copy) {
+fn restore(site: &Site, copy: &Backup) {
     site.store.set(Mode::Down);
     thread::sleep(Duration::from_millis(300));
     site.store.restore(copy, SECOND);
@@ -66,7 +66,7 @@
 #[test]
 fn verify_a_configuration_is_in_force_in_time_after_the_store_was_restored() {
     let site = site(1);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     for version in 2..8 {
         site.configure(&with_route(version));
     }
@@ -81,7 +81,7 @@
 #[test]
 fn verify_a_revision_that_is_given_out_again_is_read_again() {
     let site = site(1);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     let held = site.configure(&with_route(2));
     wait_in_force(&site, 2);
     site.store.set(Mode::Down);
@@ -96,7 +96,7 @@
 #[test]
 fn verify_a_watch_from_before_the_restore_misses_nothing() {
     let site = site(1);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.configure(&with_route(2));
     wait_in_force(&site, 2);
     site.store.set(Mode::Down);
@@ -115,7 +115,7 @@
     let mut site = site(1);
     site.configure(&with_route(2));
     wait_in_force(&site, 2);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     let mut third = with_route(3);
     third["tenants"][0]["apiKeys"] = json!(["another-key-of-the-customer"]);
     site.configure(&third);
@@ -155,7 +155,7 @@
 #[test]
 fn verify_targets_written_after_the_copy_serve_on() {
     let mut site = site(2);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.add_replica("orders");
     site.settle(3);
     restore(&site, &copy);
@@ -169,7 +169,7 @@
 fn verify_a_target_that_left_before_the_restore_gets_nothing_more() {
     for says_so in [true, false] {
         let site = site(3);
-        let copy = site.store.copy();
+        let copy = site.store.backup();
         let leaving = &site.replicas[0];
         if says_so {
             site.list(leaving, "draining");
@@ -222,11 +222,11 @@
     let site = site(1);
     site.configure(&with_route(2));
     wait_in_force(&site, 2);
-    let before = site.store.copy();
+    let before = site.store.backup();
     restore(&site, &before);
     site.configure(&with_route(3));
     wait_in_force(&site, 3);
-    let after = site.store.copy();
+    let after = site.store.backup();
     site.store.restore(&before, 1);
     let until = Instant::now() + Duration::from_secs(1);
     while Instant::now() < until {
@@ -244,7 +244,7 @@
 #[test]
 fn verify_entries_that_start_within_restores_learn_what_is_written_again() {
     let mut site = site(2);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.configure(&with_route(2));
     wait_in_force(&site, 2);
     restore(&site, &copy);
@@ -267,7 +267,7 @@
 #[test]
 fn verify_pages_from_before_and_after_a_restore_are_no_read() {
     let mut site = site(2);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.add_replica("orders");
     site.add_replica("orders");
     site.settle(4);
@@ -286,7 +286,7 @@
 #[test]
 fn verify_a_store_that_refuses_calls_after_a_restore_is_read_anew() {
     let site = site(1);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.configure(&with_route(2));
     wait_in_force(&site, 2);
     site.store.set(Mode::Refusing);
@@ -342,7 +342,7 @@
     let mut site = Site::open(2);
     site.add_entry("");
     site.settle(2);
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.replicas[0].crash();
     let reborn = site.replicas[0].new_incarnation();
     site.list(&reborn, "ready");
