--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -83,7 +83,7 @@
     /// Arrival time, in milliseconds since the Unix epoch.
     pub at: u64,
     /// Pause that the response requested, in milliseconds.
-    pub rest: Option<u64>,
+    pub pause_ms: Option<u64>,
     /// Time from which all responses announced that the replica leaves, in milliseconds since the
     /// Unix epoch; `None` if they did not.
     pub leaves: Option<u64>,
@@ -95,12 +95,12 @@
 ///
 /// `from_one` are the arrivals from that sender. A pause starts with the request whose response
 /// asks for it; arrivals in its first `grace` milliseconds are not counted.
-pub fn most_in_rest(from_one: &[Arrival], grace: u64) -> usize {
-    let count_in_pause = |refused: &Arrival, rest: u64| {
-        let pause = refused.at + grace..refused.at + rest;
+pub fn max_in_pause(from_one: &[Arrival], grace: u64) -> usize {
+    let count_in_pause = |refused: &Arrival, pause_ms: u64| {
+        let pause = refused.at + grace..refused.at + pause_ms;
         from_one.iter().filter(|it| pause.contains(&it.at)).count()
     };
-    let counts = from_one.iter().filter_map(|it| Some(count_in_pause(it, it.rest?)));
+    let counts = from_one.iter().filter_map(|it| Some(count_in_pause(it, it.pause_ms?)));
     counts.max().unwrap_or(0)
 }
 
@@ -435,10 +435,10 @@
     }
 
     fn record_arrival(&self, run: &Run, mode: Mode) {
-        let rest = if let Mode::Shed(pause_ms) = mode { Some(pause_ms) } else { None };
+        let pause_ms = if let Mode::Shed(it) = mode { Some(it) } else { None };
         let mut state = self.lock();
         let (leaves, limit) = (state.leaving_since, state.limit);
-        let arrival = Arrival { id: run.id.clone(), at: clock::now(), rest, leaves, limit };
+        let arrival = Arrival { id: run.id.clone(), at: clock::now(), pause_ms, leaves, limit };
         state.arrivals.push(arrival);
     }
 
--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::limits;
-use crate::replica::{self, Arrival, Replica, most_in_rest};
+use crate::replica::{self, Arrival, Replica, max_in_pause};
 use crate::soak::callers::{Kind, Sample};
 use crate::soak::fleet::{FATAL, Fleet, Strike, Struck};
 
@@ -289,14 +289,14 @@
     for arrival in &it.arrivals[replica] {
         // Those of the request that ends targets have no sample.
         let Some(sample) = sent.get(arrival.id.as_str()) else { continue };
-        let until = arrival.at + arrival.rest.unwrap_or(0);
+        let until = arrival.at + arrival.pause_ms.unwrap_or(0);
         let excused = it.struck(Struck::Entry(sample.entry), arrival.at, until)
             || it.struck(Struck::Replica(replica), arrival.at.saturating_sub(AFTER), until);
-        let rest = arrival.rest.filter(|_| !excused);
-        let arrival = Arrival { rest, ..arrival.clone() };
+        let pause_ms = arrival.pause_ms.filter(|_| !excused);
+        let arrival = Arrival { pause_ms, ..arrival.clone() };
         from.entry(sample.entry).or_default().push(arrival);
     }
-    let worst = from.iter().map(|(entry, all)| (most_in_rest(all, AFTER), *entry)).max()?;
+    let worst = from.iter().map(|(entry, all)| (max_in_pause(all, AFTER), *entry)).max()?;
     let seen = format!("{} from entry {} to resting replica {replica}", worst.0, worst.1);
     (worst.0 > MOST_IN_REST).then_some(Breach { promise: Promise::Rest, seen })
 }
--- a/crates/sablepass-stand/tests/resting.rs
+++ b/crates/sablepass-stand/tests/resting.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use sablepass_stand::client::{Answer, Ask, metric, wait_for};
-use sablepass_stand::replica::{Arrival, Mode, Replica, most_in_rest};
+use sablepass_stand::replica::{Arrival, Mode, Replica, max_in_pause};
 use sablepass_stand::site::{Site, ask};
 
 /// The rest that is asked for.
@@ -46,7 +46,7 @@
         let all = it.arrivals().into_iter();
         all.filter(|it| it.id.starts_with(&format!("{entry}-"))).collect::<Vec<Arrival>>()
     };
-    (0..entries).map(|entry| most_in_rest(&from(entry), GRACE)).max().unwrap_or(0)
+    (0..entries).map(|entry| max_in_pause(&from(entry), GRACE)).max().unwrap_or(0)
 }
 
 #[test]
