--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -86,7 +86,7 @@
     pub pause_ms: Option<u64>,
     /// Time from which all responses announced that the replica leaves, in milliseconds since the
     /// Unix epoch; `None` if they did not.
-    pub leaves: Option<u64>,
+    pub leaving_since: Option<u64>,
     /// Limit of the replica at the arrival, in requests per second.
     pub limit: Option<f64>,
 }
@@ -437,8 +437,9 @@
     fn record_arrival(&self, run: &Run, mode: Mode) {
         let pause_ms = if let Mode::Shed(it) = mode { Some(it) } else { None };
         let mut state = self.lock();
-        let (leaves, limit) = (state.leaving_since, state.limit);
-        let arrival = Arrival { id: run.id.clone(), at: clock::now(), pause_ms, leaves, limit };
+        let (leaving_since, limit) = (state.leaving_since, state.limit);
+        let arrival =
+            Arrival { id: run.id.clone(), at: clock::now(), pause_ms, leaving_since, limit };
         state.arrivals.push(arrival);
     }
 
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -32,7 +32,7 @@
 /// Has an entry send requests until a target's answer has said that it leaves.
 fn tell(site: &Site, entry: usize, leaving: &Replica) {
     leaving.leave();
-    let told = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
+    let told = || leaving.arrivals().iter().any(|it| it.leaving_since.is_some());
     wait_for("it has told", || {
         ask("GET", "/safe/x", &format!("{entry}-told"), "").send(&site.http(entry));
         told()
--- a/crates/sablepass-stand/tests/leaving.rs
+++ b/crates/sablepass-stand/tests/leaving.rs
@@ -39,7 +39,7 @@
 /// Sends requests until an answer of the target has said that it leaves.
 fn tell(site: &Site, leaving: &Replica) {
     leaving.leave();
-    let told = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
+    let told = || leaving.arrivals().iter().any(|it| it.leaving_since.is_some());
     wait_for("it has told", || {
         send(site, "safe", "first");
         told()
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -108,7 +108,9 @@
         let entry: usize = entry.parse().expect("a number");
         let since = match (left.way, left.moment) {
             // Only who was told is bound.
-            (Way::Told, _) if arrival.leaves.is_some() => *told.entry(entry).or_insert(arrival.at),
+            (Way::Told, _) if arrival.leaving_since.is_some() => {
+                *told.entry(entry).or_insert(arrival.at)
+            }
             (Way::Told, _) => continue,
             (_, Moment::Before | Moment::Later) => left.at,
             (_, Moment::During | Moment::After) => ended + SETTLED - DRAINS,
