--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -166,7 +166,7 @@
     /// Instance id.
     pub id: String,
     /// Start time, in milliseconds since the Unix epoch.
-    pub born: u64,
+    pub started_at: u64,
     /// Service that it belongs to.
     pub service: String,
     /// Address at which callers reach it.
@@ -218,7 +218,7 @@
         };
         let replica = Self {
             id,
-            born: clock::now(),
+            started_at: clock::now(),
             service: service.to_owned(),
             addr,
             state: Arc::new((Mutex::new(state), Condvar::new())),
@@ -377,7 +377,7 @@
         serde_json::json!({
             "service": self.service, "address": self.addr.to_string(), "zone": "ba-1",
             "version": "v1", "slots": 12, "state": state, "coldRemainingMs": 0, "seq": 4,
-            "born": self.born,
+            "born": self.started_at,
         })
         .to_string()
     }
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -180,9 +180,9 @@
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     let mut leaving = site.replicas[0].clone();
-    leaving.born -= 30_000;
+    leaving.started_at -= 30_000;
     let mut earlier = leaving.clone();
-    earlier.born -= 30_000;
+    earlier.started_at -= 30_000;
     site.list(&earlier, "ready");
     site.add_entry("");
     site.settle(2);
