--- a/crates/sablepass-stand/src/ranks.rs
+++ b/crates/sablepass-stand/src/ranks.rs
@@ -157,22 +157,22 @@
     }
 
     /// Sets the expert that is chosen most.
-    pub fn shift(&self, hot: u64) {
+    pub fn set_hot_expert(&self, hot: u64) {
         self.lock().hot_expert = hot;
     }
 
     /// Makes a rank close the connection on each order without carrying it out; `None` ends this.
-    pub fn deafen(&self, rank: Option<usize>) {
+    pub fn set_unresponsive(&self, rank: Option<usize>) {
         self.lock().unresponsive = rank;
     }
 
     /// Makes a rank report that it takes `pace` times as long for the same work.
-    pub fn slow(&self, rank: usize, pace: f64) {
+    pub fn set_pace(&self, rank: usize, pace: f64) {
         self.lock().paces[rank] = pace;
     }
 
     /// Number of experts on a rank.
-    pub fn held_by(&self, rank: usize) -> usize {
+    pub fn expert_count(&self, rank: usize) -> usize {
         self.lock().ranks[rank].experts.len()
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Steps at which the ranks used different maps.
-    pub fn broken(&self) -> Vec<u64> {
+    pub fn inconsistent_steps(&self) -> Vec<u64> {
         self.lock().inconsistent_steps.clone()
     }
 
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -147,7 +147,7 @@
         let group = self.group.clone();
         std::thread::spawn(move || {
             for hot in 0.. {
-                group.shift(hot % EXPERTS);
+                group.set_hot_expert(hot % EXPERTS);
                 std::thread::sleep(SHIFTS);
             }
         });
@@ -312,7 +312,7 @@
                 Some(rank)
             }
             Fault::RankDeaf => {
-                self.group.deafen(Some(rank));
+                self.group.set_unresponsive(Some(rank));
                 Some(rank)
             }
             Fault::ReplicaIs(mode) => {
@@ -412,7 +412,7 @@
                 self.agents[who] = self.start_agent(who);
             }
             Fault::AgentPaused => self.agents[who].wake(),
-            Fault::RankDeaf => self.group.deafen(None),
+            Fault::RankDeaf => self.group.set_unresponsive(None),
             Fault::ReplicaIs(_) | Fault::ReplicaSheds(_) => {
                 self.site.replicas[who].set(replica::Mode::Good)
             }
--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -134,7 +134,7 @@
             began: fleet.began.clone(),
             leaving: fleet.leaving.clone(),
             routes: fleet.routes.clone(),
-            broken: fleet.group.broken(),
+            broken: fleet.group.inconsistent_steps(),
             stands: fleet.group.progress().0 == before,
             stuck: fleet.stuck.clone(),
             arrivals: fleet.site.replicas.iter().map(Replica::arrivals).collect(),
--- a/crates/sablepass-stand/tests/ranks.rs
+++ b/crates/sablepass-stand/tests/ranks.rs
@@ -85,7 +85,7 @@
     }
 
     fn check(&self) {
-        assert_eq!(self.group.broken(), Vec::<u64>::new(), "steps began on two maps");
+        assert_eq!(self.group.inconsistent_steps(), Vec::<u64>::new(), "steps began on two maps");
     }
 }
 
@@ -95,7 +95,7 @@
         let fleet = fleet(list_first);
         fleet.wait_for_spread(0);
         let before = fleet.group.version();
-        fleet.group.shift(5);
+        fleet.group.set_hot_expert(5);
         fleet.wait_for_spread(5);
         assert!(fleet.group.version() > before);
         fleet.check();
@@ -106,7 +106,7 @@
 fn verify_agent_killed_while_maps_change() {
     let mut fleet = fleet(true);
     for round in 0..6 {
-        fleet.group.shift(round % 8);
+        fleet.group.set_hot_expert(round % 8);
         let rank = (round as usize) % RANKS;
         let busy = |it: &Fleet| it.group.progress().1;
         wait_for("a switch is under way or done", || {
@@ -118,7 +118,7 @@
         wait_for("the group goes on", || fleet.group.progress().0 > step + 5);
         fleet.check();
     }
-    fleet.group.shift(7);
+    fleet.group.set_hot_expert(7);
     fleet.wait_for_spread(7);
     fleet.check();
 }
@@ -128,7 +128,7 @@
     let fleet = fleet(true);
     fleet.wait_for_spread(0);
     for round in 1..4 {
-        fleet.group.shift(round);
+        fleet.group.set_hot_expert(round);
         fleet.agents[round as usize].pause();
         let (step, _) = fleet.group.progress();
         // The group makes its steps, or stands at one that is held.
@@ -146,12 +146,12 @@
 fn verify_rank_that_takes_no_orders_delays_only() {
     let fleet = fleet(true);
     fleet.wait_for_spread(0);
-    fleet.group.deafen(Some(2));
-    fleet.group.shift(4);
+    fleet.group.set_unresponsive(Some(2));
+    fleet.group.set_hot_expert(4);
     let (step, _) = fleet.group.progress();
     wait_for("the group goes on", || fleet.group.progress().0 > step + 50);
     fleet.check();
-    fleet.group.deafen(None);
+    fleet.group.set_unresponsive(None);
     fleet.wait_for_spread(4);
     fleet.check();
 }
@@ -160,10 +160,10 @@
 fn verify_work_leaves_a_slow_rank() {
     let fleet = fleet(true);
     fleet.wait_for_spread(0);
-    let before = fleet.group.held_by(1);
-    fleet.group.slow(1, 8.0);
+    let before = fleet.group.expert_count(1);
+    fleet.group.set_pace(1, 8.0);
     wait_for("the slow rank holds fewer experts", || {
-        fleet.group.held_by(1) < before && fleet.group.version().is_some()
+        fleet.group.expert_count(1) < before && fleet.group.version().is_some()
     });
     fleet.check();
 }
@@ -227,7 +227,7 @@
     wait_for("the last one is in force", || {
         fleet.site.status(0)["revision"].as_u64() >= Some(revision)
     });
-    fleet.group.shift(5);
+    fleet.group.set_hot_expert(5);
     fleet.wait_for_spread(5);
     for it in &fleet.agents {
         let bytes = |kind: &str| {
@@ -261,7 +261,7 @@
         let told = |line: &Value| line["event"] == "bounds of maps" && line["era"] == 2;
         wait_for("an agent is told", || it.log().iter().any(told));
     }
-    fleet.group.shift(5);
+    fleet.group.set_hot_expert(5);
     fleet.wait_for_spread(5);
     fleet.check();
 }
