--- a/crates/sablepass-stand/src/beside.rs
+++ b/crates/sablepass-stand/src/beside.rs
@@ -28,7 +28,7 @@
     /// received the reports of all agents.
     pub fn spawn(machines: usize) -> Self {
         let mut site = Site::open(0);
-        let machines: Vec<IpAddr> = (0..machines).map(|_| ranks::machine()).collect();
+        let machines: Vec<IpAddr> = (0..machines).map(|_| ranks::new_machine_address()).collect();
         for machine in &machines {
             let replica = Replica::spawn_at("orders", *machine);
             site.list(&replica, "ready");
--- a/crates/sablepass-stand/src/ranks.rs
+++ b/crates/sablepass-stand/src/ranks.rs
@@ -83,7 +83,7 @@
 /// A new loopback address for a simulated machine. Its second and third part come from the
 /// process id, so that no other process or test uses the address and a port found free there
 /// stays free.
-pub fn machine() -> IpAddr {
+pub fn new_machine_address() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
--- a/crates/sablepass-stand/tests/closed.rs
+++ b/crates/sablepass-stand/tests/closed.rs
@@ -26,7 +26,7 @@
 /// most, and for four times its `objective` without a word. In milliseconds.
 fn fleet(size: u32, form: u64, objective: u64, timeout: u64) -> Fleet {
     let mut site = Site::open(0);
-    let machine = ranks::machine();
+    let machine = ranks::new_machine_address();
     let replica = Replica::spawn_at("orders", machine);
     site.list(&replica, "ready");
     site.replicas.push(replica);
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -258,7 +258,7 @@
     let mut site = Site::open(3);
     site.add_entry("");
     site.settle(3);
-    let machine = ranks::machine();
+    let machine = ranks::new_machine_address();
     let at = SocketAddr::new(machine, ranks::free_port_at(&[machine]));
     let agent = site.add_agent(at, site.replicas[1].addr);
     let knows = |agent: &Process| {
