--- a/crates/sablepass-stand/src/fleet.rs
+++ b/crates/sablepass-stand/src/fleet.rs
@@ -73,7 +73,7 @@
 
     /// Times at which the engine refused requests in mode `rest`, in milliseconds since the Unix
     /// epoch.
-    pub fn turned(&self) -> Vec<u64> {
+    pub fn refusal_times(&self) -> Vec<u64> {
         let turned = control(&self.base, "GET", "/control/turned", "");
         turned.as_array().into_iter().flatten().filter_map(serde_json::Value::as_u64).collect()
     }
--- a/crates/sablepass-stand/tests/resting.rs
+++ b/crates/sablepass-stand/tests/resting.rs
@@ -147,7 +147,7 @@
         let answer = Ask::chat(common::FARM, "triage", &word, 2, true).send(&addr);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    let turned = resting.turned();
+    let turned = resting.refusal_times();
     let first = *turned.first().expect("it was asked once");
     let within = first + GRACE..first + REST;
     let most = turned.iter().filter(|it| within.contains(it)).count();
@@ -164,7 +164,7 @@
     let ask = || Ask::chat(common::FARM, "triage", "all", 2, true).send(&addr);
     wait_for("all ask for rest", || {
         ask();
-        fleet.targets[..2].iter().all(|it| !it.turned().is_empty())
+        fleet.targets[..2].iter().all(|it| !it.refusal_times().is_empty())
     });
     wait_for("the entry knows", || ask().reason() == "targets-rest");
     let answer = ask();
