--- a/crates/sablepass-stand/src/process.rs
+++ b/crates/sablepass-stand/src/process.rs
@@ -136,7 +136,7 @@
     }
 
     /// Resumes the suspended process with SIGCONT.
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
@@ -163,7 +163,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.wake();
+        self.resume();
         self.kill();
     }
 }
--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -248,7 +248,7 @@
     pub fn pause_unseen(&self, entry: usize, span: Duration) {
         self.site.entries[entry].pause();
         std::thread::sleep(span);
-        self.site.entries[entry].wake();
+        self.site.entries[entry].resume();
     }
 
     /// Plays a schedule to its end.
@@ -401,7 +401,7 @@
     fn end(&mut self, it: &Planned, who: usize) {
         match it.fault {
             Fault::EntryKilled => self.add_entry(),
-            Fault::EntryPaused => self.site.entries[who].wake(),
+            Fault::EntryPaused => self.site.entries[who].resume(),
             Fault::EntryStopped => {
                 self.wait_for_end(who);
                 self.add_entry();
@@ -411,7 +411,7 @@
                 self.agents[who].kill();
                 self.agents[who] = self.start_agent(who);
             }
-            Fault::AgentPaused => self.agents[who].wake(),
+            Fault::AgentPaused => self.agents[who].resume(),
             Fault::RankDeaf => self.group.set_unresponsive(None),
             Fault::ReplicaIs(_) | Fault::ReplicaSheds(_) => {
                 self.site.replicas[who].set(replica::Mode::Good)
--- a/crates/sablepass-stand/tests/asleep.rs
+++ b/crates/sablepass-stand/tests/asleep.rs
@@ -74,7 +74,7 @@
     }
     assert!(began.elapsed() < ANSWERED, "{:?}", began.elapsed());
     site.replicas[0].set(Mode::Good);
-    agents[0].wake();
+    agents[0].resume();
     for number in 0..CALLERS {
         assert_eq!(site.runs(&format!("s{number}")), 1, "what was moved is not begun again");
     }
@@ -127,7 +127,7 @@
     let open = Group { open: true, ..closed };
     site.replicas.iter().for_each(|it| it.report_group(Group { steps: true, ..open }));
     thread::sleep(Duration::from_millis(2_500));
-    site.entries[0].wake();
+    site.entries[0].resume();
     callers.into_iter().for_each(|it| drop(it.join()));
     let begun = (0..CALLERS).filter(|it| site.runs(&format!("late-{it}")) > 0).count();
     assert_eq!(begun, 0, "their callers are gone");
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -65,7 +65,7 @@
         let left = running.leave(&leaving, way);
         thread::sleep(Duration::from_secs(4));
         let late = late(&leaving, left, (0, 0));
-        readers.iter().for_each(|it| running.site.entries[*it].wake());
+        readers.iter().for_each(|it| running.site.entries[*it].resume());
         assert_eq!(late, none(), "{way:?}");
         running.end();
     }
@@ -107,7 +107,7 @@
         thread::sleep(Duration::from_millis(1_500));
         running.site.store.restore(&copy, SECOND);
         thread::sleep(Duration::from_millis(700));
-        running.site.entries[sleeper].wake();
+        running.site.entries[sleeper].resume();
         let woke = clock::now();
         thread::sleep(Duration::from_secs(4));
         assert_eq!(late(&leaving, left, (sleeper, woke)), none(), "{way:?}");
@@ -321,7 +321,7 @@
     thread::sleep(Duration::from_secs(1));
     running.site.list(&back, "ready");
     thread::sleep(Duration::from_secs(1));
-    running.site.entries[sleeper].wake();
+    running.site.entries[sleeper].resume();
     let woke = clock::now();
     let sent = || {
         let arrivals = back.arrivals();
--- a/crates/sablepass-stand/tests/faults.rs
+++ b/crates/sablepass-stand/tests/faults.rs
@@ -172,7 +172,7 @@
     assert_ne!(answer.ran, "ran", "{answer:?}");
     let runs_then = fleet.targets[2].runs().len();
     assert_eq!(runs_then, 0);
-    fleet.targets[2].agent.wake();
+    fleet.targets[2].agent.resume();
     fleet.settle(3, 0);
     // It is past its deadline: the woken agent refuses it.
     wait_for("the late dispatch is refused", || {
@@ -195,7 +195,7 @@
     assert_ne!(answer.status, 200);
     wait_for("the pause is long", || paused.elapsed().as_secs() >= 10);
     // By now its connections count as silent: it drops them with what they hold.
-    fleet.targets[2].agent.wake();
+    fleet.targets[2].agent.resume();
     fleet.settle(3, 0);
     let again = Ask::post(FARM, "/services/claims/run", "afterpause").send(&fleet.http(0));
     assert_eq!(again.status, 200, "{again:?}");
@@ -260,7 +260,7 @@
         assert_eq!(answer.text(), expected(&word, 3), "{answer:?}");
     }
     assert!(begun.elapsed().as_secs() < 2, "new requests waited for a stalled engine");
-    fleet.targets[0].server().wake();
+    fleet.targets[0].server().resume();
 }
 
 #[test]
@@ -428,7 +428,7 @@
     });
     fleet.entries[0].1.kill();
     assert_eq!(call.join().expect("ends").status, 0, "the connection breaks");
-    fleet.targets[2].server().wake();
+    fleet.targets[2].server().resume();
     // The same key through the other entry gets the first run's answer.
     let mut last = Answer::default();
     wait_for("the answer", || {
--- a/crates/sablepass-stand/tests/limited.rs
+++ b/crates/sablepass-stand/tests/limited.rs
@@ -188,7 +188,7 @@
         if round == 1 {
             site.entries[changed].pause();
             call(&site, 1, &format!("stopped-{round}"), Duration::from_secs(3));
-            site.entries[changed].wake();
+            site.entries[changed].resume();
         } else {
             drop(site.entries.remove(changed));
             call(&site, 1, &format!("ended-{round}"), Duration::from_secs(2));
--- a/crates/sablepass-stand/tests/ranks.rs
+++ b/crates/sablepass-stand/tests/ranks.rs
@@ -136,7 +136,7 @@
             let (now, held) = fleet.group.progress();
             held || now > step + 20
         });
-        fleet.agents[round as usize].wake();
+        fleet.agents[round as usize].resume();
         fleet.wait_for_spread(round);
         fleet.check();
     }
--- a/crates/sablepass-stand/tests/spread.rs
+++ b/crates/sablepass-stand/tests/spread.rs
@@ -180,7 +180,7 @@
     let new = fleet.publish("masa/main.toml", &with_customer("new"));
     let rest = |it: &Fleet| control(&it.admin(0), "GET", "/status", "")["revision"].as_u64();
     wait_for("in force", || rest(&fleet) == Some(new));
-    fleet.targets[0].agent.wake();
+    fleet.targets[0].agent.resume();
     wait_for("in force", || revisions(&fleet).iter().all(|it| *it == new));
 }
 
--- a/crates/sablepass-stand/tests/stops.rs
+++ b/crates/sablepass-stand/tests/stops.rs
@@ -143,7 +143,7 @@
     let revision = fleet.publish("tatranska/main.toml", &stop);
     wait_for("it drains", || is_drained(&fleet.targets[0]));
     let runs = fleet.targets[0].runs().len();
-    fleet.entries[1].1.wake();
+    fleet.entries[1].1.resume();
     // It still believes that the target is open; whatever it sends there is refused and moves on.
     for it in 0..20 {
         let word = format!("woken{it}x");
