--- a/crates/sablepass-stand/src/replica.rs
+++ b/crates/sablepass-stand/src/replica.rs
@@ -631,6 +631,6 @@
 }
 
 /// Expected body of a stream: all events, each once and in order.
-pub fn whole(id: &str) -> String {
+pub fn all_events(id: &str) -> String {
     (1..=EVENTS).map(|it| format!("id: {it}\ndata: {id}-{it}\n\n")).collect()
 }
--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -222,7 +222,7 @@
 
 fn expected(sample: &Sample) -> String {
     match sample.kind {
-        Kind::Stream => replica::whole(&sample.id),
+        Kind::Stream => replica::all_events(&sample.id),
         Kind::Safe | Kind::Added(_) => String::new(),
         Kind::Once => sample.id.clone(),
     }
--- a/crates/sablepass-stand/tests/garbled.rs
+++ b/crates/sablepass-stand/tests/garbled.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sablepass_stand::client::{Answer, metric, wait_for};
-use sablepass_stand::replica::{Mode, Replica, whole};
+use sablepass_stand::replica::{Mode, Replica, all_events};
 use sablepass_stand::site::{Site, ask};
 
 /// Time in which a target whose entry is bad gets no new work any more: that
@@ -59,7 +59,7 @@
         site.replicas.iter().for_each(|it| it.set(Mode::Good));
         for (number, it) in held.into_iter().enumerate() {
             let answer = it.join().expect("the caller ends");
-            assert_eq!(answer.body, whole(&format!("held-{number}")), "{value}");
+            assert_eq!(answer.body, all_events(&format!("held-{number}")), "{value}");
         }
         let before = bad.runs().len();
         (0..12).for_each(|it| assert_eq!(send(&site, 0, &format!("n{it}")).status, 200));
--- a/crates/sablepass-stand/tests/leaving.rs
+++ b/crates/sablepass-stand/tests/leaving.rs
@@ -81,7 +81,7 @@
     send_many(&site, "beside");
     leaving.set(Mode::Good);
     let answer = caller.join().expect("the caller ends");
-    assert_eq!((answer.status, answer.body), (200, replica::whole("held")));
+    assert_eq!((answer.status, answer.body), (200, replica::all_events("held")));
     assert_eq!(leaving.arrivals().len(), 1, "more was sent to it");
 }
 
--- a/crates/sablepass-stand/tests/site.rs
+++ b/crates/sablepass-stand/tests/site.rs
@@ -33,7 +33,7 @@
     let site = site(2);
     let addr = site.http(0);
     let stream = ask("POST", "/stream/a%20b?x=1&y", "s1", "prompt").send(&addr);
-    assert_eq!((stream.status, stream.body.as_str()), (200, replica::whole("s1").as_str()));
+    assert_eq!((stream.status, stream.body.as_str()), (200, replica::all_events("s1").as_str()));
     let safe = ask("GET", "/safe/q?z=%2F", "g1", "").send(&addr);
     assert_eq!((safe.status, safe.body.as_str()), (200, ""));
     let once = ask("POST", "/once/claim", "u1", "one claim").send(&addr);
@@ -113,7 +113,7 @@
         // The second replica resets as well, unless it begins behind the event.
         all(&site, Mode::Good);
         if answer.status == 200 {
-            assert_eq!(answer.body, replica::whole(&id), "event {event}");
+            assert_eq!(answer.body, replica::all_events(&id), "event {event}");
         }
         assert!(site.runs(&id) <= 2, "event {event}");
     }
@@ -123,7 +123,7 @@
     for round in 0..20 {
         let id = format!("once-reset-{round}");
         let answer = ask("POST", "/stream/x", &id, "p").send(&site.http(0));
-        assert_eq!((answer.status, answer.body), (200, replica::whole(&id)));
+        assert_eq!((answer.status, answer.body), (200, replica::all_events(&id)));
         let again = site.replicas.iter().flat_map(Replica::runs);
         resumed += again.filter(|it| it.id == id && it.field("last-event-id") == "2").count();
     }
@@ -509,7 +509,7 @@
     wait_for("it says so", || said("settings reloaded"));
     site.replicas[0].set(Mode::Good);
     let answer: Answer = call.join().expect("the caller ends");
-    assert_eq!((answer.status, answer.body), (200, replica::whole("reload")));
+    assert_eq!((answer.status, answer.body), (200, replica::all_events("reload")));
 }
 
 #[test]
@@ -524,6 +524,6 @@
     wait_for("not ready", || ask("GET", "/-/readyz", "", "").send(&admin).status == 503);
     site.replicas[0].set(Mode::Good);
     let answer: Answer = call.join().expect("the caller ends");
-    assert_eq!((answer.status, answer.body), (200, replica::whole("planned")));
+    assert_eq!((answer.status, answer.body), (200, replica::all_events("planned")));
     assert!(site.entries[0].wait(), "it ends well");
 }
