--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -320,7 +320,7 @@
         }
     }
     counted.iter().find_map(|&(since, limit)| {
-        let span = since..since + limits::SPAN;
+        let span = since..since + limits::WINDOW_MS;
         let same = |other: &&(u64, f64)| span.contains(&other.0) && other.1 == limit;
         let most = counted.iter().filter(same).count();
         let seen = format!("{most} in a span to replica {replica}, that takes {limit} a second");
--- a/crates/sablepass-stand/tests/limited.rs
+++ b/crates/sablepass-stand/tests/limited.rs
@@ -28,7 +28,7 @@
 /// Time between an answer and its caller's next request.
 const PAUSE: Duration = Duration::from_millis(20);
 /// How long they call: the time from which a limit binds, and more than one span after it.
-const LASTS: Duration = Duration::from_millis(limits::CONTACT + 2 * limits::SPAN);
+const LASTS: Duration = Duration::from_millis(limits::GRACE_MS + 2 * limits::WINDOW_MS);
 
 /// Callers at so many entries, who send requests of all kinds for so long.
 fn call(site: &Site, entries: usize, label: &str, lasts: Duration) -> Vec<Answer> {
@@ -37,7 +37,7 @@
 }
 
 fn keeps(arrivals: &[Arrival], limit: f64) {
-    let (most, allowed) = limits::fullest_span(arrivals, limit).expect("it was sent something");
+    let (most, allowed) = limits::busiest_window(arrivals, limit).expect("it was sent something");
     assert!(most as f64 <= allowed, "{most} requests in a span, {allowed} are allowed");
 }
 
