--- a/crates/sablepass-stand/src/engine.rs
+++ b/crates/sablepass-stand/src/engine.rs
@@ -383,7 +383,7 @@
     }
     // Without the end marker the response would still end as valid HTTP; its reader must see
     // that it broke off.
-    let _ = out.spoil();
+    let _ = out.break_off();
 }
 
 /// Sends the tokens as one JSON document.
--- a/crates/sablepass-stand/src/http.rs
+++ b/crates/sablepass-stand/src/http.rs
@@ -164,7 +164,7 @@
     }
 
     /// Ends the response with an invalid chunk, so that its reader recognizes it as incomplete.
-    pub fn spoil(mut self) -> std::io::Result<()> {
+    pub fn break_off(mut self) -> std::io::Result<()> {
         self.encoder.get_mut().write_all(b"broken off\r\n")
     }
 }
