--- a/crates/sablepass-stand/src/site.rs
+++ b/crates/sablepass-stand/src/site.rs
@@ -106,11 +106,11 @@
     /// Starts an entry with additional settings lines; returns its index. All earlier entries are
     /// its seeds, from which it reads when the store does not respond.
     pub fn add_entry(&mut self, more: &str) -> usize {
-        self.add_entry_at(more, self.entries.len())
+        self.add_entry_with_seeds(more, self.entries.len())
     }
 
     /// Like [`Self::add_entry`], with only the first `seeds` entries as seeds.
-    pub fn add_entry_at(&mut self, more: &str, seeds: usize) -> usize {
+    pub fn add_entry_with_seeds(&mut self, more: &str, seeds: usize) -> usize {
         let seeds = self.entries.iter().take(seeds);
         let seeds: Vec<String> = seeds.map(|it| it.addr("peers")).collect();
         self.started += 1;
--- a/crates/sablepass-stand/tests/common/running.rs
+++ b/crates/sablepass-stand/tests/common/running.rs
@@ -54,7 +54,7 @@
         let mut site = Site::open(targets);
         site.pace = Pace::Platform;
         for _ in 0..ENTRIES {
-            site.add_entry_at("", SEEDS);
+            site.add_entry_with_seeds("", SEEDS);
         }
         site.settle(targets);
         let writers = Arc::new(Mutex::new(site.replicas.clone()));
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -82,7 +82,7 @@
         let left = running.leave(&leaving, way);
         thread::sleep(Duration::from_millis(1_500));
         running.site.store.restore(&copy, SECOND);
-        let fresh = running.site.add_entry_at("", SEEDS);
+        let fresh = running.site.add_entry_with_seeds("", SEEDS);
         let started = clock::now();
         let status = || running.site.status(fresh)["revision"].as_u64();
         wait_for("it has a configuration", || status() > Some(0));
@@ -160,7 +160,7 @@
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     for _ in 0..ENTRIES {
-        site.add_entry_at("", SEEDS);
+        site.add_entry_with_seeds("", SEEDS);
     }
     site.settle(2);
     wait_for("all know of each other", || {
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -139,7 +139,7 @@
     thread::sleep(Duration::from_millis(1_500));
     trouble.end(&store, &copy);
     let ended = clock::now();
-    let entry = running.site.add_entry_at("", SEEDS);
+    let entry = running.site.add_entry_with_seeds("", SEEDS);
     let fresh = (entry, clock::now());
     running.call(entry);
     left.extend(leave(&running, &mut unused, Moment::After, &WAYS));
--- a/crates/sablepass-stand/tests/ranks.rs
+++ b/crates/sablepass-stand/tests/ranks.rs
@@ -178,7 +178,7 @@
     let mut fleet = fleet(true);
     let port = format!("agent_port = {}", fleet.port);
     for _ in 1..ENTRIES {
-        fleet.site.add_entry_at(&port, 0);
+        fleet.site.add_entry_with_seeds(&port, 0);
     }
     let counts = |it: &Fleet, entries: std::ops::Range<usize>, all: usize| {
         entries
@@ -191,7 +191,7 @@
         fleet.site.entries[it].kill();
     }
     for _ in 0..ENTRIES {
-        fleet.site.add_entry_at(&port, 0);
+        fleet.site.add_entry_with_seeds(&port, 0);
     }
     wait_for("all are counted again", || counts(&fleet, ENTRIES..2 * ENTRIES, ENTRIES));
     fleet.site.entries[ENTRIES].kill();
--- a/crates/sablepass-stand/tests/site.rs
+++ b/crates/sablepass-stand/tests/site.rs
@@ -58,7 +58,7 @@
 fn verify_entries_that_meet_at_a_seed_know_of_each_other() {
     let mut site = Site::open(1);
     for _ in 0..6 {
-        site.add_entry_at("", 1);
+        site.add_entry_with_seeds("", 1);
     }
     let known = |entry| site.status(entry)["entries"].as_u64();
     wait_for("all entries are known", || (0..6).all(|it| known(it) == Some(6)));
