--- a/crates/sablepass-stand/src/lib.rs
+++ b/crates/sablepass-stand/src/lib.rs
@@ -6,7 +6,6 @@
 //! [`fleet`] starts real processes on free loopback ports with the stand-in platform, and
 //! [`client`] calls them. [`site`] does the same with stand-ins of the users' platform.
 
-pub mod beside;
 pub mod client;
 pub mod fleet;
 pub mod http;
@@ -16,4 +15,5 @@
 pub mod ranks;
 pub mod replica;
 pub mod site;
+pub mod site_with_agents;
 pub mod soak;
--- a/crates/sablepass-stand/src/beside.rs
+++ b/crates/sablepass-stand/src/site_with_agents.rs
@@ -14,7 +14,7 @@
 
 /// A site with its agents. All processes are killed when it is dropped.
 #[derive(Debug)]
-pub struct Beside {
+pub struct SiteWithAgents {
     /// The site; it has one entry at first.
     pub site: Site,
     /// Agents, one for each replica and in the same order.
@@ -23,7 +23,7 @@
     pub more: String,
 }
 
-impl Beside {
+impl SiteWithAgents {
     /// Starts `machines` replicas with their agents, and an entry; returns when the entry has
     /// received the reports of all agents.
     pub fn spawn(machines: usize) -> Self {
--- a/crates/sablepass-stand/tests/asleep.rs
+++ b/crates/sablepass-stand/tests/asleep.rs
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sablepass_stand::beside::Beside;
 use sablepass_stand::client::{metric, wait_for};
 use sablepass_stand::replica::{Group, Mode};
 use sablepass_stand::site::{HOST, KEY, Site, ask};
+use sablepass_stand::site_with_agents::SiteWithAgents;
 
 /// Targets, each with a machine of its own.
 const MACHINES: usize = 3;
@@ -59,7 +59,7 @@
 
 #[test]
 fn verify_requests_leave_a_machine_that_sleeps() {
-    let Beside { site, agents, .. } = Beside::spawn(MACHINES);
+    let SiteWithAgents { site, agents, .. } = SiteWithAgents::spawn(MACHINES);
     agents[0].pause();
     site.replicas[0].set(Mode::Asleep);
     let began = Instant::now();
@@ -83,7 +83,7 @@
 /// One of two groups stands at a step that is held. What comes goes to the other.
 #[test]
 fn verify_work_goes_to_the_group_that_makes_steps() {
-    let Beside { site, agents: _agents, .. } = Beside::spawn(MACHINES);
+    let SiteWithAgents { site, agents: _agents, .. } = SiteWithAgents::spawn(MACHINES);
     let group = |steps| Group { open: true, size: 1, steps };
     site.replicas[0].report_group(group(false));
     site.replicas[1..].iter().for_each(|it| it.report_group(group(true)));
@@ -108,7 +108,7 @@
 /// once it wakes, and it serves what comes next.
 #[test]
 fn verify_an_entry_that_wakes_begins_nothing_whose_time_is_over() {
-    let Beside { mut site, agents: _agents, .. } = Beside::spawn(MACHINES);
+    let SiteWithAgents { mut site, agents: _agents, .. } = SiteWithAgents::spawn(MACHINES);
     let closed = Group { open: false, size: MACHINES as u32, steps: false };
     site.replicas.iter().for_each(|it| it.report_group(closed));
     let admin = site.entries[0].addr("admin");
--- a/crates/sablepass-stand/tests/broken.rs
+++ b/crates/sablepass-stand/tests/broken.rs
@@ -6,10 +6,10 @@
 
 use std::time::{Duration, Instant};
 
-use sablepass_stand::beside::Beside;
 use sablepass_stand::client::wait_for;
 use sablepass_stand::replica::{Group, Replica};
 use sablepass_stand::site::{Site, ask};
+use sablepass_stand::site_with_agents::SiteWithAgents;
 
 /// Ranks of the group.
 const RANKS: usize = 3;
@@ -18,8 +18,8 @@
 /// Between two callers: many more at once are turned away for want of room.
 const PAUSE: Duration = Duration::from_millis(100);
 
-fn group() -> Beside {
-    let beside = Beside::spawn(RANKS);
+fn group() -> SiteWithAgents {
+    let beside = SiteWithAgents::spawn(RANKS);
     let open = Group { open: true, size: RANKS as u32, steps: true };
     beside.site.replicas.iter().for_each(|it| it.report_group(open));
     wait_for("agents know the group", || send(&beside.site, "first") == 200);
--- a/crates/sablepass-stand/tests/crashing.rs
+++ b/crates/sablepass-stand/tests/crashing.rs
@@ -13,10 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sablepass_stand::beside::Beside;
 use sablepass_stand::client::{Answer, metric, wait_for};
 use sablepass_stand::replica::{Group, Replica};
 use sablepass_stand::site::{Site, ask};
+use sablepass_stand::site_with_agents::SiteWithAgents;
 
 /// Body of the request.
 const FATAL: &str = "ends whatever runs it";
@@ -124,7 +124,7 @@
 /// Entries keep nothing. What they found out outlasts them beside the targets.
 #[test]
 fn verify_entries_that_start_anew_learn_what_ends_targets() {
-    let mut beside = Beside::spawn(6);
+    let mut beside = SiteWithAgents::spawn(6);
     let site = &mut beside.site;
     is_fatal_to(&site.replicas);
     for round in 0..4 {
@@ -145,7 +145,7 @@
 /// that what a rank ended under is not tried at the others. What did not run there is.
 #[test]
 fn verify_what_a_rank_ended_under_is_not_tried_at_the_others() {
-    let beside = Beside::spawn(4);
+    let beside = SiteWithAgents::spawn(4);
     let site = &beside.site;
     is_fatal_to(&site.replicas);
     let group = Group { open: true, size: 4, steps: true };
