--- a/crates/sablepass-stand/src/http.rs
+++ b/crates/sablepass-stand/src/http.rs
@@ -55,7 +55,7 @@
     },
 }
 
-/// Opens a server; returns it with the address, whose port is known then also where 0 was given.
+/// Opens a server; returns it with its address, which has the actual port if `addr` has port 0.
 pub fn bind(addr: SocketAddr) -> Result<(Server, SocketAddr), Error> {
     let listener = listen(addr).context(ListenSnafu { addr })?;
     let addr = listener.local_addr().context(ListenSnafu { addr })?;
