--- a/crates/sablepass-stand/src/ranks.rs
+++ b/crates/sablepass-stand/src/ranks.rs
@@ -257,7 +257,7 @@
     fn answer(&self, rank: usize, mut request: Request) {
         let url = request.url().to_owned();
         let mut body = String::new();
-        // An incomplete body is not valid JSON and is refused as an unknown order.
+        // An incomplete order is not valid JSON, so it has no epoch and is refused with 409.
         let _ = request.as_reader().read_to_string(&mut body);
         let (status, answer) = match url.as_str() {
             "/-/report" => (200, self.report(rank)),
