--- a/crates/sablepass-stand/src/soak/fleet.rs
+++ b/crates/sablepass-stand/src/soak/fleet.rs
@@ -98,7 +98,7 @@
     /// Time at which each added route was declared, in the order of the routes' numbers.
     pub(super) routes: Vec<u64>,
     /// Backups of the store with their times, the oldest first.
-    backups: Vec<(u64, keys::Copy)>,
+    backups: Vec<(u64, keys::Backup)>,
     era: u64,
     /// Numbers of the entries that didn't exit within [`STOP_TIMEOUT`].
     pub(super) stop_timeouts: Vec<usize>,
@@ -151,7 +151,7 @@
         let group = self.group.clone();
         std::thread::spawn(move || {
             for hot in 0.. {
-                group.shift(hot % EXPERTS_PER_LAYER);
+                group.set_hot_expert(hot % EXPERTS_PER_LAYER);
                 std::thread::sleep(DEMAND_SHIFT_INTERVAL);
             }
         });
@@ -200,7 +200,7 @@
 
     /// Starts a proxy for a new replica and lists the replica at the proxy's address.
     fn list_replica(&mut self, replica: &Replica) {
-        replica.end_on(FATAL_BODY);
+        replica.crash_on(FATAL_BODY);
         let to = replica.addr.to_string();
         let any = "127.0.0.1:0";
         let proxy = Process::spawn(
@@ -220,12 +220,12 @@
 
     /// Restarts replicas that have ended, with the same ids.
     fn restart_replicas(&mut self) {
-        let ended = |it: &usize| self.site.replicas[*it].ended();
+        let ended = |it: &usize| self.site.replicas[*it].crashed();
         let (ended, ready) = std::mem::take(&mut self.ready).into_iter().partition(ended);
         self.ready = ready;
         let ended: Vec<usize> = ended;
         for index in ended {
-            let next = self.site.replicas[index].reborn();
+            let next = self.site.replicas[index].new_incarnation();
             self.list_replica(&next);
         }
     }
@@ -255,7 +255,7 @@
     pub fn pause_unrecorded(&self, entry: usize, span: Duration) {
         self.site.entries[entry].pause();
         std::thread::sleep(span);
-        self.site.entries[entry].wake();
+        self.site.entries[entry].resume();
     }
 
     /// Injects the faults of a schedule at their times and returns after the last one has ended.
@@ -271,7 +271,7 @@
         events.sort_unstable();
         let mut affected: Vec<Option<usize>> = vec![None; plan.len()];
         for (at, starts, number) in events {
-            self.backups.push((clock::now(), self.site.store.copy()));
+            self.backups.push((clock::now(), self.site.store.backup()));
             let due = started + Duration::from_millis(at);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             if starts {
@@ -321,7 +321,7 @@
                 Some(rank)
             }
             Fault::RankUnresponsive => {
-                self.group.deafen(Some(rank));
+                self.group.set_unresponsive(Some(rank));
                 Some(rank)
             }
             Fault::ReplicaMode(mode) => {
@@ -342,7 +342,7 @@
                 replica
             }
             Fault::ReplicaLimits(limit) => {
-                self.site.replicas[replica?].name_limit(Some(f64::from(limit) / LIMIT_PERIOD_S));
+                self.site.replicas[replica?].set_limit(Some(f64::from(limit) / LIMIT_PERIOD_S));
                 replica
             }
             Fault::ReplicaAnnouncesLeave => {
@@ -364,7 +364,7 @@
             }
             Fault::ReplicaRestarted => {
                 self.site.replicas[replica.filter(|_| self.ready.len() > MIN_READY_REPLICAS)?]
-                    .end();
+                    .crash();
                 replica
             }
             Fault::ListItemCorrupted => {
@@ -389,7 +389,7 @@
             }
             Fault::StoreHistoryLost => {
                 self.record_fault(Component::Store, planned);
-                self.site.store.forget();
+                self.site.store.discard_history();
                 None
             }
             Fault::StoreRestored => {
@@ -414,7 +414,7 @@
     fn end_fault(&mut self, planned: &PlannedFault, index: usize) {
         match planned.fault {
             Fault::EntryKilled => self.add_entry(),
-            Fault::EntryPaused => self.site.entries[index].wake(),
+            Fault::EntryPaused => self.site.entries[index].resume(),
             Fault::EntryStopped => {
                 self.wait_for_exit(index);
                 self.add_entry();
@@ -424,12 +424,12 @@
                 self.agents[index].kill();
                 self.agents[index] = self.start_agent(index);
             }
-            Fault::AgentPaused => self.agents[index].wake(),
-            Fault::RankUnresponsive => self.group.deafen(None),
+            Fault::AgentPaused => self.agents[index].resume(),
+            Fault::RankUnresponsive => self.group.set_unresponsive(None),
             Fault::ReplicaMode(_) | Fault::ReplicaSheds(_) => {
                 self.site.replicas[index].set(replica::Mode::Good)
             }
-            Fault::ReplicaLimits(_) => self.site.replicas[index].name_limit(None),
+            Fault::ReplicaLimits(_) => self.site.replicas[index].set_limit(None),
             Fault::ReplicaLeaves | Fault::ReplicaAnnouncesLeave => {
                 self.draining.retain(|it| *it != index);
                 let id = self.site.replicas[index].id.clone();
@@ -462,7 +462,7 @@
     /// Restores the store from a backup with a new era. Rewrites the data that the backup lacks
     /// after [`REWRITE_DELAY`]; items of replicas that have left expire.
     fn restore(&mut self) {
-        let old = |it: &&(u64, keys::Copy)| clock::now() >= it.0 + MIN_BACKUP_AGE_MS;
+        let old = |it: &&(u64, keys::Backup)| clock::now() >= it.0 + MIN_BACKUP_AGE_MS;
         let Some(backup) = self.backups.iter().rfind(old).or(self.backups.first()) else { return };
         self.era += 1;
         self.site.store.restore(&backup.1, self.era);
@@ -499,7 +499,7 @@
     }
 
     fn set_link(&self, index: usize, command: &str) {
-        if self.site.replicas[index].ended() {
+        if self.site.replicas[index].crashed() {
             return;
         }
         client::control(&self.proxies[index].addr("control"), "POST", "/control", command);
@@ -518,10 +518,10 @@
 /// Removes an item of the instance list after its lease, unless it is written before then: a
 /// replica may restart with the same id.
 fn remove_after_lease(store: keys::Store, key: String) {
-    let written = store.written(&key);
+    let written = store.key_revision(&key);
     std::thread::spawn(move || {
         std::thread::sleep(INSTANCE_LEASE);
-        if store.written(&key) == written {
+        if store.key_revision(&key) == written {
             store.remove(&key);
         }
     });
@@ -531,7 +531,7 @@
 /// address refuses connections as the replica's own address does.
 fn kill_proxy_with(replica: Replica, proxy: u32) {
     std::thread::spawn(move || {
-        while !replica.ended() {
+        while !replica.crashed() {
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
         // An error means that the proxy has exited already.
--- a/crates/sablepass-stand/src/soak/judge.rs
+++ b/crates/sablepass-stand/src/soak/judge.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::limits;
-use crate::replica::{self, Arrival, Replica, most_in_rest};
+use crate::replica::{self, Arrival, Replica, max_in_pause};
 use crate::soak::callers::{Kind, Sample};
 use crate::soak::fleet::{Component, FATAL_BODY, FaultWindow, Fleet};
 
@@ -128,7 +128,7 @@
         let mut fault_windows = fleet.fault_windows.clone();
         let mut fatal_runs = 0;
         for (replica, it) in fleet.site.replicas.iter().enumerate() {
-            if let Some(at) = it.ended_at() {
+            if let Some(at) = it.crashed_at() {
                 let component = Component::Replica(replica);
                 fault_windows.push(FaultWindow { component, from: at, until: at + FAULT_GRACE_MS });
             }
@@ -145,7 +145,7 @@
             started_at: fleet.started_at.clone(),
             leaving: fleet.leaving.clone(),
             routes: fleet.routes.clone(),
-            split_steps: fleet.group.broken(),
+            split_steps: fleet.group.inconsistent_steps(),
             stalled: fleet.group.progress().0 == before,
             stop_timeouts: fleet.stop_timeouts.clone(),
             arrivals: fleet.site.replicas.iter().map(Replica::arrivals).collect(),
@@ -253,7 +253,7 @@
 
 fn expected(sample: &Sample) -> String {
     match sample.kind {
-        Kind::Stream => replica::whole(&sample.id),
+        Kind::Stream => replica::all_events(&sample.id),
         Kind::Safe | Kind::Added(_) => String::new(),
         Kind::Once => sample.id.clone(),
     }
@@ -328,19 +328,19 @@
     for arrival in &observed.arrivals[replica] {
         // Arrivals of the fatal request have no sample.
         let Some(sample) = sent.get(arrival.id.as_str()) else { continue };
-        let until = arrival.at + arrival.rest.unwrap_or(0);
+        let until = arrival.at + arrival.pause_ms.unwrap_or(0);
         let excused = observed.affected(Component::Entry(sample.entry), arrival.at, until)
             || observed.affected(
                 Component::Replica(replica),
                 arrival.at.saturating_sub(FAULT_GRACE_MS),
                 until,
             );
-        let rest = arrival.rest.filter(|_| !excused);
-        let arrival = Arrival { rest, ..arrival.clone() };
+        let pause_ms = arrival.pause_ms.filter(|_| !excused);
+        let arrival = Arrival { pause_ms, ..arrival.clone() };
         from.entry(sample.entry).or_default().push(arrival);
     }
     let worst =
-        from.iter().map(|(entry, all)| (most_in_rest(all, FAULT_GRACE_MS), *entry)).max()?;
+        from.iter().map(|(entry, all)| (max_in_pause(all, FAULT_GRACE_MS), *entry)).max()?;
     let seen = format!(
         "{} requests from entry {} to replica {replica} during its back-off",
         worst.0, worst.1
@@ -372,7 +372,7 @@
         }
     }
     counted.iter().find_map(|&(since, limit)| {
-        let span = since..since + limits::SPAN;
+        let span = since..since + limits::WINDOW_MS;
         let same = |other: &&(u64, f64)| span.contains(&other.0) && other.1 == limit;
         let count = counted.iter().filter(same).count();
         let seen = format!(
--- a/crates/sablepass-stand/tests/asleep.rs
+++ b/crates/sablepass-stand/tests/asleep.rs
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sablepass_stand::beside::Beside;
 use sablepass_stand::client::{metric, wait_for};
 use sablepass_stand::replica::{Group, Mode};
 use sablepass_stand::site::{HOST, KEY, Site, ask};
+use sablepass_stand::site_with_agents::SiteWithAgents;
 
 /// Targets, each with a machine of its own.
 const MACHINES: usize = 3;
@@ -59,7 +59,7 @@
 
 #[test]
 fn verify_requests_leave_a_machine_that_sleeps() {
-    let Beside { site, agents, .. } = Beside::spawn(MACHINES);
+    let SiteWithAgents { site, agents, .. } = SiteWithAgents::spawn(MACHINES);
     agents[0].pause();
     site.replicas[0].set(Mode::Asleep);
     let began = Instant::now();
@@ -74,7 +74,7 @@
     }
     assert!(began.elapsed() < ANSWERED, "{:?}", began.elapsed());
     site.replicas[0].set(Mode::Good);
-    agents[0].wake();
+    agents[0].resume();
     for number in 0..CALLERS {
         assert_eq!(site.runs(&format!("s{number}")), 1, "what was moved is not begun again");
     }
@@ -83,10 +83,10 @@
 /// One of two groups stands at a step that is held. What comes goes to the other.
 #[test]
 fn verify_work_goes_to_the_group_that_makes_steps() {
-    let Beside { site, agents: _agents, .. } = Beside::spawn(MACHINES);
+    let SiteWithAgents { site, agents: _agents, .. } = SiteWithAgents::spawn(MACHINES);
     let group = |steps| Group { open: true, size: 1, steps };
-    site.replicas[0].tell(group(false));
-    site.replicas[1..].iter().for_each(|it| it.tell(group(true)));
+    site.replicas[0].report_group(group(false));
+    site.replicas[1..].iter().for_each(|it| it.report_group(group(true)));
     let mut asked = 0;
     let mut next = || {
         asked += 1;
@@ -99,7 +99,7 @@
         let before = next();
         known(before, &mut next)
     });
-    site.replicas[0].tell(group(true));
+    site.replicas[0].report_group(group(true));
     let before = site.replicas[0].runs().len();
     wait_for("work comes back once it goes on", || next() > before);
 }
@@ -108,9 +108,9 @@
 /// once it wakes, and it serves what comes next.
 #[test]
 fn verify_an_entry_that_wakes_begins_nothing_whose_time_is_over() {
-    let Beside { mut site, agents: _agents, .. } = Beside::spawn(MACHINES);
+    let SiteWithAgents { mut site, agents: _agents, .. } = SiteWithAgents::spawn(MACHINES);
     let closed = Group { open: false, size: MACHINES as u32, steps: false };
-    site.replicas.iter().for_each(|it| it.tell(closed));
+    site.replicas.iter().for_each(|it| it.report_group(closed));
     let admin = site.entries[0].addr("admin");
     wait_for("the group is closed", || {
         metric(&admin, "sablepass_targets", "state=\"usable\"") < 1.0
@@ -125,9 +125,9 @@
     thread::sleep(Duration::from_millis(100));
     site.entries[0].pause();
     let open = Group { open: true, ..closed };
-    site.replicas.iter().for_each(|it| it.tell(Group { steps: true, ..open }));
+    site.replicas.iter().for_each(|it| it.report_group(Group { steps: true, ..open }));
     thread::sleep(Duration::from_millis(2_500));
-    site.entries[0].wake();
+    site.entries[0].resume();
     callers.into_iter().for_each(|it| drop(it.join()));
     let begun = (0..CALLERS).filter(|it| site.runs(&format!("late-{it}")) > 0).count();
     assert_eq!(begun, 0, "their callers are gone");
--- a/crates/sablepass-stand/tests/broken.rs
+++ b/crates/sablepass-stand/tests/broken.rs
@@ -6,10 +6,10 @@
 
 use std::time::{Duration, Instant};
 
-use sablepass_stand::beside::Beside;
 use sablepass_stand::client::wait_for;
 use sablepass_stand::replica::{Group, Replica};
 use sablepass_stand::site::{Site, ask};
+use sablepass_stand::site_with_agents::SiteWithAgents;
 
 /// Ranks of the group.
 const RANKS: usize = 3;
@@ -18,10 +18,10 @@
 /// Between two callers: many more at once are turned away for want of room.
 const PAUSE: Duration = Duration::from_millis(100);
 
-fn group() -> Beside {
-    let beside = Beside::spawn(RANKS);
+fn group() -> SiteWithAgents {
+    let beside = SiteWithAgents::spawn(RANKS);
     let open = Group { open: true, size: RANKS as u32, steps: true };
-    beside.site.replicas.iter().for_each(|it| it.tell(open));
+    beside.site.replicas.iter().for_each(|it| it.report_group(open));
     wait_for("agents know the group", || send(&beside.site, "first") == 200);
     std::thread::sleep(KNOWN);
     beside
@@ -41,7 +41,7 @@
 fn verify_nothing_is_sent_to_a_group_that_lost_a_rank() {
     let beside = group();
     let site = &beside.site;
-    site.replicas[0].end();
+    site.replicas[0].crash();
     std::thread::sleep(KNOWN);
     let before = runs(site);
     for number in 0..8 {
@@ -60,7 +60,7 @@
 fn verify_the_ranks_word_counts_once_they_have_noticed() {
     let beside = group();
     let site = &beside.site;
-    site.replicas[0].end();
+    site.replicas[0].crash();
     std::thread::sleep(KNOWN);
     let refused = send(site, "refused");
     assert_eq!(refused, 503);
@@ -72,5 +72,5 @@
     let took = began.elapsed();
     assert!((1_200..2_400).contains(&took.as_millis()), "after {took:?}");
     let listed: &Replica = &site.replicas[0];
-    assert!(listed.ended());
+    assert!(listed.crashed());
 }
--- a/crates/sablepass-stand/tests/crashing.rs
+++ b/crates/sablepass-stand/tests/crashing.rs
@@ -13,10 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sablepass_stand::beside::Beside;
 use sablepass_stand::client::{Answer, metric, wait_for};
 use sablepass_stand::replica::{Group, Replica};
 use sablepass_stand::site::{Site, ask};
+use sablepass_stand::site_with_agents::SiteWithAgents;
 
 /// Body of the request.
 const FATAL: &str = "ends whatever runs it";
@@ -28,7 +28,7 @@
 const LEASE: Duration = Duration::from_millis(300);
 
 fn is_fatal_to(replicas: &[Replica]) {
-    replicas.iter().for_each(|it| it.end_on(FATAL));
+    replicas.iter().for_each(|it| it.crash_on(FATAL));
 }
 
 /// Entries before six targets that end as they begin to run the request.
@@ -43,7 +43,7 @@
 }
 
 fn ended(site: &Site) -> usize {
-    site.replicas.iter().filter(|it| it.ended()).count()
+    site.replicas.iter().filter(|it| it.crashed()).count()
 }
 
 /// Takes targets that ended off the list, and starts as many under new ids,
@@ -53,12 +53,12 @@
         thread::sleep(LEASE);
         let fresh = ended(site) - *known;
         *known += fresh;
-        for it in site.replicas.iter().filter(|it| it.ended()) {
+        for it in site.replicas.iter().filter(|it| it.crashed()) {
             site.store.remove(&format!("servers/{}", it.id));
         }
         for _ in 0..fresh {
             let index = site.add_replica("orders");
-            site.replicas[index].end_on(FATAL);
+            site.replicas[index].crash_on(FATAL);
         }
         let live = site.replicas.len() - *known;
         site.settle(live);
@@ -124,7 +124,7 @@
 /// Entries keep nothing. What they found out outlasts them beside the targets.
 #[test]
 fn verify_entries_that_start_anew_learn_what_ends_targets() {
-    let mut beside = Beside::spawn(6);
+    let mut beside = SiteWithAgents::spawn(6);
     let site = &mut beside.site;
     is_fatal_to(&site.replicas);
     for round in 0..4 {
@@ -145,11 +145,11 @@
 /// that what a rank ended under is not tried at the others. What did not run there is.
 #[test]
 fn verify_what_a_rank_ended_under_is_not_tried_at_the_others() {
-    let beside = Beside::spawn(4);
+    let beside = SiteWithAgents::spawn(4);
     let site = &beside.site;
     is_fatal_to(&site.replicas);
     let group = Group { open: true, size: 4, steps: true };
-    site.replicas.iter().for_each(|it| it.tell(group));
+    site.replicas.iter().for_each(|it| it.report_group(group));
     let admin = site.entries[0].addr("admin");
     send(site, 0, "once", "first", FATAL);
     wait_for("its end is known", || metric(&admin, "sablepass_deaths_total", "") >= 1.0);
@@ -216,7 +216,7 @@
 #[test]
 fn verify_what_two_targets_ended_under_by_chance_is_served_again() {
     let site = two_end_at_once();
-    site.replicas.iter().for_each(|it| it.end_on("something else"));
+    site.replicas.iter().for_each(|it| it.crash_on("something else"));
     thread::sleep(PAUSED);
     wait_for("all entries serve it", || {
         (0..3).all(|entry| send(&site, entry, "once", "innocent", FATAL).status == 200)
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -32,7 +32,7 @@
 /// Has an entry send requests until a target's answer has said that it leaves.
 fn tell(site: &Site, entry: usize, leaving: &Replica) {
     leaving.leave();
-    let told = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
+    let told = || leaving.arrivals().iter().any(|it| it.leaving_since.is_some());
     wait_for("it has told", || {
         ask("GET", "/safe/x", &format!("{entry}-told"), "").send(&site.http(entry));
         told()
@@ -65,7 +65,7 @@
         let left = running.leave(&leaving, way);
         thread::sleep(Duration::from_secs(4));
         let late = late(&leaving, left, (0, 0));
-        readers.iter().for_each(|it| running.site.entries[*it].wake());
+        readers.iter().for_each(|it| running.site.entries[*it].resume());
         assert_eq!(late, none(), "{way:?}");
         running.end();
     }
@@ -77,12 +77,12 @@
 fn verify_an_entry_that_starts_beside_a_restore_uses_nothing_that_left() {
     for way in [Way::Draining, Way::Removed] {
         let mut running = Running::start(3);
-        let copy = running.site.store.copy();
+        let copy = running.site.store.backup();
         let leaving = running.site.replicas[0].clone();
         let left = running.leave(&leaving, way);
         thread::sleep(Duration::from_millis(1_500));
         running.site.store.restore(&copy, SECOND);
-        let fresh = running.site.add_entry_at("", SEEDS);
+        let fresh = running.site.add_entry_with_seeds("", SEEDS);
         let started = clock::now();
         let status = || running.site.status(fresh)["revision"].as_u64();
         wait_for("it has a configuration", || status() > Some(0));
@@ -99,7 +99,7 @@
 fn verify_an_entry_that_wakes_beside_a_restore_brings_back_nothing_that_left() {
     for way in [Way::Draining, Way::Removed] {
         let running = Running::start(3);
-        let copy = running.site.store.copy();
+        let copy = running.site.store.backup();
         let leaving = running.site.replicas[0].clone();
         let sleeper = ENTRIES - 1;
         running.site.entries[sleeper].pause();
@@ -107,7 +107,7 @@
         thread::sleep(Duration::from_millis(1_500));
         running.site.store.restore(&copy, SECOND);
         thread::sleep(Duration::from_millis(700));
-        running.site.entries[sleeper].wake();
+        running.site.entries[sleeper].resume();
         let woke = clock::now();
         thread::sleep(Duration::from_secs(4));
         assert_eq!(late(&leaving, left, (sleeper, woke)), none(), "{way:?}");
@@ -122,7 +122,7 @@
     let running = Running::start(4);
     let [leaving, lost] = [0, 1].map(|it| running.site.replicas[it].clone());
     running.leave(&lost, Way::Removed);
-    let copy = running.site.store.copy();
+    let copy = running.site.store.backup();
     running.site.list(&lost, "ready");
     thread::sleep(Duration::from_secs(1));
     let left = running.leave(&leaving, Way::Removed);
@@ -160,7 +160,7 @@
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     for _ in 0..ENTRIES {
-        site.add_entry_at("", SEEDS);
+        site.add_entry_with_seeds("", SEEDS);
     }
     site.settle(2);
     wait_for("all know of each other", || {
@@ -180,9 +180,9 @@
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     let mut leaving = site.replicas[0].clone();
-    leaving.born -= 30_000;
+    leaving.started_at -= 30_000;
     let mut earlier = leaving.clone();
-    earlier.born -= 30_000;
+    earlier.started_at -= 30_000;
     site.list(&earlier, "ready");
     site.add_entry("");
     site.settle(2);
@@ -203,7 +203,7 @@
 #[test]
 fn verify_a_copy_that_lists_an_earlier_life_takes_no_word_back() {
     let (mut site, leaving) = site_with_an_earlier_life();
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.list(&leaving, "ready");
     let known = || site.entries[0].log().iter().any(|it| it["event"] == "target restarted");
     wait_for("its present life is known", known);
@@ -258,7 +258,7 @@
     let mut site = Site::open(3);
     site.add_entry("");
     site.settle(3);
-    let machine = ranks::machine();
+    let machine = ranks::new_machine_address();
     let at = SocketAddr::new(machine, ranks::free_port_at(&[machine]));
     let agent = site.add_agent(at, site.replicas[1].addr);
     let knows = |agent: &Process| {
@@ -266,7 +266,7 @@
         status["instances"].as_u64()
     };
     wait_for("the agent has the list", || knows(&agent) == Some(3));
-    let copy = site.store.copy();
+    let copy = site.store.backup();
     site.store.remove(&format!("servers/{}", site.replicas[0].id));
     wait_for("the agent knows who left", || knows(&agent) == Some(2));
     site.store.restore(&copy, SECOND);
@@ -287,7 +287,7 @@
         store.set(mode);
         thread::sleep(Duration::from_millis(1_500));
         running.leave(&lapsed, Way::Removed);
-        let copy = store.copy();
+        let copy = store.backup();
         thread::sleep(Duration::from_millis(1_500));
         if restored {
             store.restore(&copy, SECOND);
@@ -311,7 +311,7 @@
 #[test]
 fn verify_an_entry_that_wakes_beside_a_restore_uses_a_target_that_is_back() {
     let running = Running::start(3);
-    let copy = running.site.store.copy();
+    let copy = running.site.store.backup();
     let back = running.site.replicas[0].clone();
     let sleeper = ENTRIES - 1;
     running.leave(&back, Way::Removed);
@@ -321,7 +321,7 @@
     thread::sleep(Duration::from_secs(1));
     running.site.list(&back, "ready");
     thread::sleep(Duration::from_secs(1));
-    running.site.entries[sleeper].wake();
+    running.site.entries[sleeper].resume();
     let woke = clock::now();
     let sent = || {
         let arrivals = back.arrivals();
--- a/crates/sablepass-stand/tests/leaving.rs
+++ b/crates/sablepass-stand/tests/leaving.rs
@@ -39,7 +39,7 @@
 /// Sends requests until an answer of the target has said that it leaves.
 fn tell(site: &Site, leaving: &Replica) {
     leaving.leave();
-    let told = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
+    let told = || leaving.arrivals().iter().any(|it| it.leaving_since.is_some());
     wait_for("it has told", || {
         send(site, "safe", "first");
         told()
@@ -81,7 +81,7 @@
     send_many(&site, "beside");
     leaving.set(Mode::Good);
     let answer = caller.join().expect("the caller ends");
-    assert_eq!((answer.status, answer.body), (200, replica::whole("held")));
+    assert_eq!((answer.status, answer.body), (200, replica::all_events("held")));
     assert_eq!(leaving.arrivals().len(), 1, "more was sent to it");
 }
 
@@ -134,8 +134,8 @@
     let mut site = site(2);
     let leaving = site.replicas[0].clone();
     tell(&site, &leaving);
-    leaving.end();
-    let next = leaving.reborn();
+    leaving.crash();
+    let next = leaving.new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
     wait_for("its next life is used", || {
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use sablepass_edge::clock;
-use sablepass_stand::keys::{Copy, Mode, Store};
+use sablepass_stand::keys::{Backup, Mode, Store};
 use sablepass_stand::replica::Replica;
 
 use crate::common::running::{DRAINS, ENTRIES, Running, SECOND, SEEDS, Way};
@@ -42,12 +42,12 @@
         match self {
             Self::Nothing => {}
             Self::Is(mode) => store.set(mode),
-            Self::Forgets => store.forget(),
+            Self::Forgets => store.discard_history(),
             Self::Restored | Self::RestoredTwice => store.set(Mode::Down),
         }
     }
 
-    fn end(self, store: &Store, copy: &Copy) {
+    fn end(self, store: &Store, copy: &Backup) {
         if matches!(self, Self::Restored | Self::RestoredTwice) {
             store.restore(copy, SECOND);
         }
@@ -108,7 +108,9 @@
         let entry: usize = entry.parse().expect("a number");
         let since = match (left.way, left.moment) {
             // Only who was told is bound.
-            (Way::Told, _) if arrival.leaves.is_some() => *told.entry(entry).or_insert(arrival.at),
+            (Way::Told, _) if arrival.leaving_since.is_some() => {
+                *told.entry(entry).or_insert(arrival.at)
+            }
             (Way::Told, _) => continue,
             (_, Moment::Before | Moment::Later) => left.at,
             (_, Moment::During | Moment::After) => ended + SETTLED - DRAINS,
@@ -126,7 +128,7 @@
     let mut unused = running.site.replicas.clone();
     let live: Vec<Replica> = unused.drain(..LIVE).collect();
     let store = running.site.store.clone();
-    let copy = store.copy();
+    let copy = store.backup();
     let mut left = leave(&running, &mut unused, Moment::Before, &WAYS);
     thread::sleep(Duration::from_secs(1));
     trouble.begin(&store);
@@ -137,7 +139,7 @@
     thread::sleep(Duration::from_millis(1_500));
     trouble.end(&store, &copy);
     let ended = clock::now();
-    let entry = running.site.add_entry_at("", SEEDS);
+    let entry = running.site.add_entry_with_seeds("", SEEDS);
     let fresh = (entry, clock::now());
     running.call(entry);
     left.extend(leave(&running, &mut unused, Moment::After, &WAYS));
--- a/crates/sablepass-stand/tests/resting.rs
+++ b/crates/sablepass-stand/tests/resting.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use sablepass_stand::client::{Answer, Ask, metric, wait_for};
-use sablepass_stand::replica::{Arrival, Mode, Replica, most_in_rest};
+use sablepass_stand::replica::{Arrival, Mode, Replica, max_in_pause};
 use sablepass_stand::site::{Site, ask};
 
 /// The rest that is asked for.
@@ -46,7 +46,7 @@
         let all = it.arrivals().into_iter();
         all.filter(|it| it.id.starts_with(&format!("{entry}-"))).collect::<Vec<Arrival>>()
     };
-    (0..entries).map(|entry| most_in_rest(&from(entry), GRACE)).max().unwrap_or(0)
+    (0..entries).map(|entry| max_in_pause(&from(entry), GRACE)).max().unwrap_or(0)
 }
 
 #[test]
@@ -123,8 +123,8 @@
         send(&site, 0, "safe", "0-first");
         !site.replicas[0].arrivals().is_empty()
     });
-    site.replicas[0].end();
-    let next = site.replicas[0].reborn();
+    site.replicas[0].crash();
+    let next = site.replicas[0].new_incarnation();
     site.list(&next, "ready");
     site.replicas[0] = next;
     wait_for("its next life is used", || {
@@ -147,7 +147,7 @@
         let answer = Ask::chat(common::FARM, "triage", &word, 2, true).send(&addr);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    let turned = resting.turned();
+    let turned = resting.refusal_times();
     let first = *turned.first().expect("it was asked once");
     let within = first + GRACE..first + REST;
     let most = turned.iter().filter(|it| within.contains(it)).count();
@@ -164,7 +164,7 @@
     let ask = || Ask::chat(common::FARM, "triage", "all", 2, true).send(&addr);
     wait_for("all ask for rest", || {
         ask();
-        fleet.targets[..2].iter().all(|it| !it.turned().is_empty())
+        fleet.targets[..2].iter().all(|it| !it.refusal_times().is_empty())
     });
     wait_for("the entry knows", || ask().reason() == "targets-rest");
     let answer = ask();
--- a/crates/sablepass-stand/tests/site.rs
+++ b/crates/sablepass-stand/tests/site.rs
@@ -33,7 +33,7 @@
     let site = site(2);
     let addr = site.http(0);
     let stream = ask("POST", "/stream/a%20b?x=1&y", "s1", "prompt").send(&addr);
-    assert_eq!((stream.status, stream.body.as_str()), (200, replica::whole("s1").as_str()));
+    assert_eq!((stream.status, stream.body.as_str()), (200, replica::all_events("s1").as_str()));
     let safe = ask("GET", "/safe/q?z=%2F", "g1", "").send(&addr);
     assert_eq!((safe.status, safe.body.as_str()), (200, ""));
     let once = ask("POST", "/once/claim", "u1", "one claim").send(&addr);
@@ -58,7 +58,7 @@
 fn verify_entries_that_meet_at_a_seed_know_of_each_other() {
     let mut site = Site::open(1);
     for _ in 0..6 {
-        site.add_entry_at("", 1);
+        site.add_entry_with_seeds("", 1);
     }
     let known = |entry| site.status(entry)["entries"].as_u64();
     wait_for("all entries are known", || (0..6).all(|it| known(it) == Some(6)));
@@ -113,7 +113,7 @@
         // The second replica resets as well, unless it begins behind the event.
         all(&site, Mode::Good);
         if answer.status == 200 {
-            assert_eq!(answer.body, replica::whole(&id), "event {event}");
+            assert_eq!(answer.body, replica::all_events(&id), "event {event}");
         }
         assert!(site.runs(&id) <= 2, "event {event}");
     }
@@ -123,7 +123,7 @@
     for round in 0..20 {
         let id = format!("once-reset-{round}");
         let answer = ask("POST", "/stream/x", &id, "p").send(&site.http(0));
-        assert_eq!((answer.status, answer.body), (200, replica::whole(&id)));
+        assert_eq!((answer.status, answer.body), (200, replica::all_events(&id)));
         let again = site.replicas.iter().flat_map(Replica::runs);
         resumed += again.filter(|it| it.id == id && it.field("last-event-id") == "2").count();
     }
@@ -200,7 +200,7 @@
 #[test]
 fn verify_address_of_another_replica_runs_nothing_twice() {
     let site = site(2);
-    let old = site.replicas[0].named("i-gone");
+    let old = site.replicas[0].with_id("i-gone");
     site.list(&old, "ready");
     site.settle(3);
     for round in 0..10 {
@@ -215,7 +215,7 @@
 fn verify_successor_at_an_address_gets_the_work_at_once() {
     let mut site = site(0);
     let replica = Replica::spawn("orders");
-    site.list(&replica.named("i-predecessor"), "ready");
+    site.list(&replica.with_id("i-predecessor"), "ready");
     site.settle(1);
     site.list(&replica, "ready");
     site.settle(2);
@@ -355,7 +355,7 @@
     let mut configuration = site::configuration(9);
     configuration["routes"][1]["pathPrefix"] = json!("/new/");
     site.configure(&configuration);
-    site.store.forget();
+    site.store.discard_history();
     site.store.set(keys::Mode::Up);
     wait_for("the change", || ask("GET", "/new/x", "new", "").send(&site.http(0)).status == 200);
     assert_eq!(ask("GET", "/safe/x", "old", "").send(&site.http(0)).status, 404);
@@ -509,7 +509,7 @@
     wait_for("it says so", || said("settings reloaded"));
     site.replicas[0].set(Mode::Good);
     let answer: Answer = call.join().expect("the caller ends");
-    assert_eq!((answer.status, answer.body), (200, replica::whole("reload")));
+    assert_eq!((answer.status, answer.body), (200, replica::all_events("reload")));
 }
 
 #[test]
@@ -524,6 +524,6 @@
     wait_for("not ready", || ask("GET", "/-/readyz", "", "").send(&admin).status == 503);
     site.replicas[0].set(Mode::Good);
     let answer: Answer = call.join().expect("the caller ends");
-    assert_eq!((answer.status, answer.body), (200, replica::whole("planned")));
+    assert_eq!((answer.status, answer.body), (200, replica::all_events("planned")));
     assert!(site.entries[0].wait(), "it ends well");
 }
