--- a/crates/sablepass-ctl/src/check.rs
+++ b/crates/sablepass-ctl/src/check.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Judging documents offline, with the code that the processes use.
+//! Checks documents offline with the same code as entries and agents, for the `check` subcommand.
 
 use std::path::{Path, PathBuf};
 
@@ -11,33 +11,34 @@
 use sablepass_core::revision::Revision;
 use snafu::{ResultExt, Snafu};
 
-/// Why files cannot be judged.
+/// Errors that prevent a check of the files.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A file cannot be read.
-    #[snafu(display("{}: {source}", file.display()))]
+    #[snafu(display("cannot read {}: {source}", file.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The files do not fit into an empty configuration.
-    #[snafu(display("the files do not make a configuration"))]
+    /// The files cannot be merged into an empty configuration.
+    #[snafu(display("the files cannot be merged into an empty configuration"))]
     Store,
 }
 
-/// A verdict: a summary, or why the document is refused.
+/// Result for one document: a summary of its declarations, or the reason for its refusal.
 pub type Verdict = Result<String, declaration::Error>;
 
-/// Judges files together, as one configuration.
+/// Checks the files together, as one configuration. Returns each document's key and result in the
+/// order of `files`. `partner` overrides the partner that a file's parent directory names.
 pub fn files(files: &[PathBuf], partner: Option<&str>) -> Result<Vec<(String, Verdict)>, Error> {
     let mut documents = Vec::new();
     for (index, file) in files.iter().enumerate() {
         let body = std::fs::read_to_string(file).context(ReadSnafu { file })?;
         let newest = Version { revision: (index as u64 + 1).into(), body };
         documents.push(Document {
-            key: key(file, partner),
+            key: document_key(file, partner),
             newest,
             removed: false,
             accepted: None,
@@ -59,8 +60,9 @@
     Ok(keys.into_iter().map(verdict).collect())
 }
 
-/// The key a file would have in the platform's service.
-fn key(file: &Path, partner: Option<&str>) -> String {
+/// Returns the key that a file's document has in the platform's configuration service:
+/// `PARTNER/FILE`.
+fn document_key(file: &Path, partner: Option<&str>) -> String {
     let name = file.file_name().unwrap_or_default().to_string_lossy();
     let parent = file.parent().and_then(Path::file_name).unwrap_or_default().to_string_lossy();
     format!("{}/{name}", partner.unwrap_or(&parent))
