--- a/crates/sablepass-ctl/src/cli.rs
+++ b/crates/sablepass-ctl/src/cli.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The command line.
+//! Command line of `sablepassctl`.
 
 use std::path::PathBuf;
 
@@ -14,52 +14,52 @@
         .value_name("ADDR")
         .required(true)
         .action(ArgAction::Append)
-        .help("Admin address of a process; may be given several times")
+        .help("Admin address of a process; can be repeated")
 }
 
 fn json() -> Arg {
     Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON instead of a table")
 }
 
-/// The whole command.
+/// Builds the command with all its subcommands.
 pub fn command() -> Command {
     Command::new("sablepassctl")
-        .about("Checks declarations and shows what is in force")
+        .about("Checks declarations and shows the configuration in force")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
         .subcommand(
             Command::new("check")
-                .about("Judge declarations as every process would; exit 1 if one is refused")
+                .about("Check declarations as entries and agents do; exit with 1 if one is refused")
                 .arg(
                     Arg::new("file")
                         .value_name("FILE")
                         .required(true)
                         .num_args(1..)
                         .value_parser(value_parser!(PathBuf))
-                        .help("Documents; the directory names the partner"),
+                        .help("Documents; the parent directory's name is the partner"),
                 )
                 .arg(
                     Arg::new("partner")
                         .long("partner")
                         .value_name("NAME")
-                        .help("The partner of all files, whatever their directory"),
+                        .help("Partner of all files, regardless of their directories"),
                 ),
         )
         .subcommand(
             Command::new("status")
-                .about("Show per declaration what is desired, in force, where, or refused and why")
+                .about("Show the desired revision of each document, the one in force, and refusals")
                 .arg(process())
                 .arg(json()),
         )
         .subcommand(
             Command::new("watch")
-                .about("Show the status whenever it changes")
+                .about("Show the status again each time it changes")
                 .arg(process())
                 .arg(json()),
         )
         .subcommand(
             Command::new("explain")
-                .about("Say what became of a request, or how a group stands")
+                .about("Show the trace of a request or the state of a group")
                 .subcommand_required(true)
                 .subcommand(
                     Command::new("request")
