--- a/crates/sablepass-ctl/src/main.rs
+++ b/crates/sablepass-ctl/src/main.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The operators' tool: judges declarations before they are published, and
-//! shows what is desired, accepted and in force. It writes nothing anywhere.
+//! `sablepassctl`, the operators' tool: checks declarations before they are published, and shows
+//! which revisions are desired, accepted and in force. All its operations are read-only.
 
 mod check;
 mod cli;
@@ -16,8 +16,8 @@
 use clap::ArgMatches;
 use snafu::Snafu;
 
-/// Time between two looks of `watch`.
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two queries of `watch`.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Snafu)]
 enum Error {
@@ -25,7 +25,7 @@
     Check { source: check::Error },
     #[snafu(transparent)]
     Remote { source: remote::Error },
-    #[snafu(display("{refused} of the declarations are refused"))]
+    #[snafu(display("number of refused documents: {refused}"))]
     Refused { refused: usize },
 }
 
@@ -36,25 +36,25 @@
 
 fn run(matches: &ArgMatches) -> Result<(), Error> {
     match matches.subcommand() {
-        Some(("check", it)) => run_check(it),
-        Some(("status", it)) => {
-            let status = remote::statuses(&processes(it));
-            print!("{}", show::status(&status, it.get_flag("json")));
+        Some(("check", args)) => run_check(args),
+        Some(("status", args)) => {
+            let status = remote::statuses(&processes(args));
+            print!("{}", show::status(&status, args.get_flag("json")));
             Ok(())
         }
-        Some(("watch", it)) => {
-            watch(&processes(it), it.get_flag("json"));
+        Some(("watch", args)) => {
+            watch(&processes(args), args.get_flag("json"));
             Ok(())
         }
-        Some(("explain", it)) => explain(it),
+        Some(("explain", args)) => explain(args),
         _ => Ok(()),
     }
 }
 
-fn run_check(it: &ArgMatches) -> Result<(), Error> {
+fn run_check(args: &ArgMatches) -> Result<(), Error> {
     let files: Vec<PathBuf> =
-        it.get_many::<PathBuf>("file").into_iter().flatten().cloned().collect();
-    let partner = it.get_one::<String>("partner").map(String::as_str);
+        args.get_many::<PathBuf>("file").into_iter().flatten().cloned().collect();
+    let partner = args.get_one::<String>("partner").map(String::as_str);
     let verdicts = check::files(&files, partner)?;
     for (key, verdict) in &verdicts {
         match verdict {
@@ -66,31 +66,35 @@
     if refused > 0 { Err(Error::Refused { refused }) } else { Ok(()) }
 }
 
-fn processes(it: &ArgMatches) -> Vec<String> {
-    it.get_many::<String>("process").into_iter().flatten().cloned().collect()
+fn processes(args: &ArgMatches) -> Vec<String> {
+    args.get_many::<String>("process").into_iter().flatten().cloned().collect()
 }
 
-/// Prints the status when it changes, for ever.
+/// Prints the status at the start and after each change, until the process is terminated.
 fn watch(processes: &[String], json: bool) {
-    let mut last = String::new();
+    let mut printed = String::new();
     loop {
         let text = show::status(&remote::statuses(processes), json);
-        if text != last {
+        if text != printed {
             println!("{text}");
-            last = text;
+            printed = text;
         }
-        std::thread::sleep(WATCH_EVERY);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
-fn explain(it: &ArgMatches) -> Result<(), Error> {
-    let (path, name, processes) = match it.subcommand() {
-        Some(("request", it)) => ("/explain/request", it.get_one::<String>("id"), processes(it)),
-        Some(("group", it)) => ("/explain/group", it.get_one::<String>("name"), processes(it)),
+fn explain(args: &ArgMatches) -> Result<(), Error> {
+    let (path, name, processes) = match args.subcommand() {
+        Some(("request", args)) => {
+            ("/explain/request", args.get_one::<String>("id"), processes(args))
+        }
+        Some(("group", args)) => {
+            ("/explain/group", args.get_one::<String>("name"), processes(args))
+        }
         _ => return Ok(()),
     };
     let name = name.cloned().unwrap_or_default();
-    let answer = remote::first(&processes, &format!("{path}?{name}"))?;
+    let answer = remote::first_answer(&processes, &format!("{path}?{name}"))?;
     println!("{answer:#}");
     Ok(())
 }
