--- a/crates/sablepass-ctl/src/show.rs
+++ b/crates/sablepass-ctl/src/show.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Status as text.
+//! Formats the status of processes as text.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,7 +11,7 @@
 
 use crate::remote::Status;
 
-/// A table of documents and processes, or JSON.
+/// Formats the statuses as a table of processes and one of documents, or as a JSON array.
 pub fn status(all: &[Status], json: bool) -> String {
     if json {
         let values: Vec<Value> = all
@@ -30,17 +30,19 @@
     out
 }
 
-/// A revision as a status tells it, which is of an era of its own.
-fn revision(it: &Value, name: &str) -> Revision {
-    Revision::new(it["era"].as_u64().unwrap_or(0), it[name].as_u64().unwrap_or(0))
+/// Reads the revision in the field `name` of a process's or a document's status. Its era is in the
+/// same JSON object.
+fn revision(status: &Value, name: &str) -> Revision {
+    Revision::new(status["era"].as_u64().unwrap_or(0), status[name].as_u64().unwrap_or(0))
 }
 
 fn newest(all: &[Status]) -> Revision {
-    let told = all.iter().filter_map(|it| it.1.as_ref().ok());
-    told.map(|it| revision(it, "revision")).max().unwrap_or_default()
+    let answers = all.iter().filter_map(|it| it.1.as_ref().ok());
+    answers.map(|it| revision(it, "revision")).max().unwrap_or_default()
 }
 
-/// How far a process is behind; revisions of two eras cannot be subtracted.
+/// Number of revisions by which a process is behind the newest one, or `era` if its revision is of
+/// an earlier era: the distance between revisions of two eras is undefined.
 fn lag(held: Revision, newest: Revision) -> String {
     if held.era < newest.era { "era".to_owned() } else { (newest.number - held.number).to_string() }
 }
@@ -50,12 +52,12 @@
     writeln!(out, "{:<24} {:<8} {:>9} {:>7}  STATE", "PROCESS", "ROLE", "REVISION", "LAG")?;
     for (process, status) in all {
         match status {
-            Ok(it) => {
-                let held = revision(it, "revision");
-                let name = it["name"].as_str().unwrap_or(process);
-                let role = it["role"].as_str().unwrap_or("");
+            Ok(status) => {
+                let held = revision(status, "revision");
+                let name = status["name"].as_str().unwrap_or(process);
+                let role = status["role"].as_str().unwrap_or("");
                 let (revision, lag) = (held.number, lag(held, newest));
-                writeln!(out, "{name:<24} {role:<8} {revision:>9} {lag:>7}  {}", state(it))?;
+                writeln!(out, "{name:<24} {role:<8} {revision:>9} {lag:>7}  {}", state(status))?;
             }
             Err(e) => writeln!(out, "{process:<24} {:<8} {:>9} {:>7}  {e}", "?", "", "")?,
         }
@@ -63,12 +65,12 @@
     Ok(())
 }
 
-fn state(it: &Value) -> String {
-    match (it["leaving"].as_bool(), it["drained"].as_bool()) {
+fn state(status: &Value) -> String {
+    match (status["leaving"].as_bool(), status["drained"].as_bool()) {
         (_, Some(true)) => "drained".to_owned(),
-        (Some(true), _) => format!("leaving, {} running", it["running"]),
-        (Some(false), _) => format!("{} running", it["running"]),
-        _ => format!("{} requests", it["requests"]),
+        (Some(true), _) => format!("leaving, {} running", status["running"]),
+        (Some(false), _) => format!("{} running", status["running"]),
+        _ => format!("{} requests", status["requests"]),
     }
 }
 
@@ -77,42 +79,43 @@
     for (process, status) in all {
         let Ok(status) = status else { continue };
         let name = status["name"].as_str().unwrap_or(process).to_owned();
-        for it in status["documents"].as_array().into_iter().flatten() {
-            let key = it["key"].as_str().unwrap_or("").to_owned();
-            documents.entry(key).or_default().push((it, name.clone()));
+        for document in status["documents"].as_array().into_iter().flatten() {
+            let key = document["key"].as_str().unwrap_or("").to_owned();
+            documents.entry(key).or_default().push((document, name.clone()));
         }
     }
     writeln!(out, "\n{:<28} {:>8} {:>9}  REFUSED OR LAGGING", "DOCUMENT", "DESIRED", "IN FORCE")?;
-    for (key, seen) in &documents {
-        write_document(out, key, seen)?;
+    for (key, statuses) in &documents {
+        write_document(out, key, statuses)?;
     }
     Ok(())
 }
 
-fn write_document(out: &mut String, key: &str, seen: &[(&Value, String)]) -> std::fmt::Result {
-    let Some((first, _)) = seen.iter().max_by_key(|it| revision(it.0, "desired")) else {
+/// Writes the row of a document. `statuses` has its status at each process, with the process's name.
+fn write_document(out: &mut String, key: &str, statuses: &[(&Value, String)]) -> std::fmt::Result {
+    let Some((latest, _)) = statuses.iter().max_by_key(|it| revision(it.0, "desired")) else {
         return Ok(());
     };
-    let newest = revision(first, "desired");
+    let newest = revision(latest, "desired");
     let desired = newest.number;
-    let lagging: Vec<&str> = seen
+    let lagging: Vec<&str> = statuses
         .iter()
         .filter(|it| revision(it.0, "desired") < newest)
         .map(|it| it.1.as_str())
         .collect();
-    let force = first["in_force"].as_u64().map_or("-".to_owned(), |it| it.to_string());
+    let in_force = latest["in_force"].as_u64().map_or("-".to_owned(), |it| it.to_string());
     let mut notes = Vec::new();
-    if let Some(version) = first["version"].as_u64() {
+    if let Some(version) = latest["version"].as_u64() {
         notes.push(format!("version {version}"));
     }
-    if first["removed"].as_bool() == Some(true) {
+    if latest["removed"].as_bool() == Some(true) {
         notes.push("removed".to_owned());
     }
-    if let Some(reason) = first["refused"].as_str() {
+    if let Some(reason) = latest["refused"].as_str() {
         notes.push(reason.lines().collect::<Vec<_>>().join(" "));
     }
     if !lagging.is_empty() {
         notes.push(format!("lagging: {}", lagging.join(", ")));
     }
-    writeln!(out, "{key:<28} {desired:>8} {force:>9}  {}", notes.join("; "))
+    writeln!(out, "{key:<28} {desired:>8} {in_force:>9}  {}", notes.join("; "))
 }
