--- a/crates/sablepass-load/src/capacity.rs
+++ b/crates/sablepass-load/src/capacity.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! `capacity`: the slopes that docs/CAPACITY.md is worked out from. Each one
-//! is measured at three sizes or more and printed as a row.
+//! The `capacity` subcommand: measures how resource usage grows with size, for docs/CAPACITY.md.
+//! Each slope is measured at three sizes, and each size prints a row.
 
 use std::time::{Duration, Instant};
 
@@ -22,25 +22,26 @@
 use crate::bench::{self, Usage};
 use crate::traffic::{self, Plan, Stream};
 
-/// Milliseconds between tokens, as in the letter.
-const STEP: u64 = 61;
+/// Step time of an engine, which is the time between two tokens of a stream. The requirements
+/// specify 61 ms.
+const STEP_MS: u64 = 61;
 
-/// A slope to measure.
+/// Measurements of how resource usage grows with one size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slope {
-    /// Open streams at an entry and an agent.
+    /// Processor time and memory of an entry and an agent, by open streams.
     Streams,
-    /// Configuration over more and more processes.
+    /// Propagation time and traffic of configuration changes, by number of entries.
     Spread,
-    /// Control traffic between an entry and its targets' agents.
+    /// Control traffic between an entry and its targets' agents, by number of agents.
     Links,
-    /// A group's agents: planner and other members.
+    /// Processor time and traffic of a group's planner and other members, by layers.
     Group,
-    /// Memory of the at-most-once table.
+    /// Memory and time of the at-most-once table, by attempts.
     Once,
-    /// Time to decide on an expert map.
+    /// Time and memory of a decision on an expert map, by ranks and layers.
     Plan,
-    /// Time and memory of the catalogue.
+    /// Time and memory of the catalogue, by targets.
     Catalogue,
 }
 
@@ -57,22 +58,23 @@
     }
 }
 
+/// Resident memory of this process, in MiB.
 fn memory() -> f64 {
     Usage::of(std::process::id()).memory
 }
 
-/// So many open streams at one entry and one agent, idle before and under load.
+/// Usage of one entry and one agent, first idle and then with about `count` open streams.
 fn streams(count: u64) {
     let document = bench::targets("t", 1, 2_000) + &bench::customers(&[("big", 1)]);
-    let fleet = bench::fleet(&document, &[STEP], 1, "exchanges = 4000");
+    let fleet = bench::fleet(&document, &[STEP_MS], 1, "exchanges = 4000");
     let control_address = fleet.targets[0].base.clone();
     control(&control_address, "POST", "/control/batch", &count.to_string());
     let (entry, agent) = (fleet.entries[0].1.id(), fleet.targets[0].agent.id());
-    let idle = (Usage::of(entry), Usage::of(agent));
+    let idle_start = (Usage::of(entry), Usage::of(agent));
     std::thread::sleep(Duration::from_secs(3));
-    let rested = (Usage::of(entry), Usage::of(agent));
-    // Answers of 8 s, started at such a rate that so many are open.
-    let tokens = 8_000 / STEP;
+    let idle_end = (Usage::of(entry), Usage::of(agent));
+    // Each answer takes 8 s and its prefill. At this rate about `count` answers are open.
+    let tokens = 8_000 / STEP_MS;
     let plan = Plan {
         entries: vec![fleet.http(0)],
         streams: vec![Stream {
@@ -88,62 +90,64 @@
         length: Duration::from_secs(6),
         seed: 1,
     };
-    let (before, busy, seen) = std::thread::scope(|scope| {
+    let (busy_start, busy_end, stats) = std::thread::scope(|scope| {
         let load = scope.spawn(|| traffic::run(&plan));
         std::thread::sleep(plan.warmup);
-        let before = (Usage::of(entry), Usage::of(agent));
+        let busy_start = (Usage::of(entry), Usage::of(agent));
         std::thread::sleep(plan.length);
-        let busy = (Usage::of(entry), Usage::of(agent));
-        (before, busy, load.join().unwrap_or_default())
+        let busy_end = (Usage::of(entry), Usage::of(agent));
+        (busy_start, busy_end, load.join().unwrap_or_default())
     });
-    let open = fleet.entry_metric(0, "sablepass_requests_total", "");
+    let requests = fleet.entry_metric(0, "sablepass_requests_total", "");
     println!(
         "streams {count}: entry idle {:.4} cores {:.1} MB, busy {:.3} cores {:.1} MB {} threads; \
-         agent idle {:.4} cores {:.1} MB, busy {:.3} cores {:.1} MB {} threads; requests {open:.0}",
-        rested.0.cores_since(&idle.0),
-        rested.0.memory,
-        busy.0.cores_since(&before.0),
-        busy.0.memory,
-        busy.0.threads,
-        rested.1.cores_since(&idle.1),
-        rested.1.memory,
-        busy.1.cores_since(&before.1),
-        busy.1.memory,
-        busy.1.threads,
+         agent idle {:.4} cores {:.1} MB, busy {:.3} cores {:.1} MB {} threads; requests {requests:.0}",
+        idle_end.0.cores_since(&idle_start.0),
+        idle_end.0.memory,
+        busy_end.0.cores_since(&busy_start.0),
+        busy_end.0.memory,
+        busy_end.0.threads,
+        idle_end.1.cores_since(&idle_start.1),
+        idle_end.1.memory,
+        busy_end.1.cores_since(&busy_start.1),
+        busy_end.1.memory,
+        busy_end.1.threads,
     );
-    for (name, it) in &seen {
-        println!("  {}", traffic::line(name, it));
+    for (name, stream_stats) in &stats {
+        println!("  {}", traffic::line(name, stream_stats));
     }
 }
 
-/// Processes in three halls: seconds to in force everywhere, reads, control traffic.
+/// Propagation of configuration changes to `count` entries in three data halls: time until a change
+/// is in force everywhere, reads of the platform's service, and control traffic.
 fn spread(count: usize) {
     let mut fleet = Fleet::open(bench::timers());
-    let people = bench::customers(&[("big", 1)]);
-    let mut revision = fleet.publish("tatranska/main.toml", &people);
+    let customers = bench::customers(&[("big", 1)]);
+    let mut revision = fleet.publish("tatranska/main.toml", &customers);
     for index in 0..count {
         fleet.add_entry(&format!("entry-{index}"), &format!("hall-{}", index % 3), "");
     }
     fleet.settle(0, revision);
     let admins: Vec<String> = (0..count).map(|it| fleet.admin(it)).collect();
     std::thread::sleep(Duration::from_secs(4));
-    let traffic = || -> f64 {
+    let sent_bytes = || -> f64 {
         admins.iter().map(|it| metric(it, "sablepass_link_bytes_total", "direction=\"out\"")).sum()
     };
     let usage = || -> Vec<Usage> { fleet.entries.iter().map(|it| Usage::of(it.1.id())).collect() };
-    let (bytes, used, start) = (traffic(), usage(), Instant::now());
+    let (bytes, usage_before, start) = (sent_bytes(), usage(), Instant::now());
     std::thread::sleep(Duration::from_secs(10));
     let elapsed = start.elapsed().as_secs_f64();
-    let rest = usage();
-    let idle = (traffic() - bytes) / elapsed / count as f64;
+    let usage_after = usage();
+    let idle = (sent_bytes() - bytes) / elapsed / count as f64;
     let cores: f64 =
-        rest.iter().zip(&used).map(|(now, then)| now.cores_since(then)).sum::<f64>() / count as f64;
-    let memory = rest.iter().map(|it| it.memory).fold(0.0, f64::max);
-    let (bytes, reads) = (traffic(), reads(&fleet));
+        usage_after.iter().zip(&usage_before).map(|(now, then)| now.cores_since(then)).sum::<f64>()
+            / count as f64;
+    let memory = usage_after.iter().map(|it| it.memory).fold(0.0, f64::max);
+    let (bytes, reads) = (sent_bytes(), reads(&fleet));
     let mut times = Vec::new();
     let changes = 10;
     for change in 0..changes {
-        let body = format!("{people}# change {change}\n");
+        let body = format!("{customers}# change {change}\n");
         let start = Instant::now();
         revision = fleet.publish("tatranska/main.toml", &body);
         while !admins
@@ -155,10 +159,10 @@
         times.push(start.elapsed().as_secs_f64());
     }
     times.sort_by(f64::total_cmp);
-    let each = (traffic() - bytes) / f64::from(changes) / count as f64;
+    let bytes_per_change = (sent_bytes() - bytes) / f64::from(changes) / count as f64;
     println!(
         "spread {count}: in force everywhere median {:.3} s, worst {:.3} s; {:.1} reads a change; \
-         {each:.0} B out a change and process (idle traffic included); \
+         {bytes_per_change:.0} B out a change and process (idle traffic included); \
          idle {idle:.0} B/s out, {cores:.4} cores, {memory:.1} MB a process",
         times[times.len() / 2],
         times[times.len() - 1],
@@ -166,44 +170,48 @@
     );
 }
 
+/// Number of reads of the configuration service so far.
 fn reads(fleet: &Fleet) -> f64 {
     let counts = control(&fleet.platform.addr("http"), "GET", "/control/reads", "");
     counts["config"].as_f64().unwrap_or(0.0)
 }
 
-/// One entry and so many agents at rest, by kind of message.
+/// Control traffic between one entry and `count` idle agents, by kind of message.
 fn links(count: usize) {
     let document = bench::targets("t", count, 32) + &bench::customers(&[("big", 1)]);
-    let fleet = bench::fleet(&document, &vec![STEP; count], 1, "subset = 64");
+    let fleet = bench::fleet(&document, &vec![STEP_MS; count], 1, "subset = 64");
     let admin = fleet.admin(0);
     let bytes = |kind: &str, direction: &str| {
         let label = format!("direction=\"{direction}\",kind=\"{kind}\"");
         metric(&admin, "sablepass_link_bytes_total", &label)
     };
-    let all = || ["report", "digest"].map(|it| [bytes(it, "in"), bytes(it, "out")]);
-    let (before, used) = (all(), Usage::of(fleet.entries[0].1.id()));
+    let traffic = || ["report", "digest"].map(|it| [bytes(it, "in"), bytes(it, "out")]);
+    let (before, usage_before) = (traffic(), Usage::of(fleet.entries[0].1.id()));
     let start = Instant::now();
     std::thread::sleep(Duration::from_secs(10));
-    let (after, rest) = (all(), Usage::of(fleet.entries[0].1.id()));
+    let (after, usage_after) = (traffic(), Usage::of(fleet.entries[0].1.id()));
     let elapsed = start.elapsed().as_secs_f64();
-    let rate = |kind: usize, way: usize| (after[kind][way] - before[kind][way]) / elapsed;
+    let rate = |kind: usize, direction: usize| {
+        (after[kind][direction] - before[kind][direction]) / elapsed
+    };
     println!(
         "links {count}: entry takes {:.0} B/s of reports, {:.0} B/s of digests, sends {:.0} B/s of digests, {:.4} cores, {:.1} MB",
         rate(0, 0),
         rate(1, 0),
         rate(1, 1),
-        rest.cores_since(&used),
-        rest.memory
+        usage_after.cores_since(&usage_before),
+        usage_after.memory
     );
 }
 
-/// A group of four members through waves: processor time and traffic.
+/// Processor time and ballot traffic of a group of four members while the popularity of experts
+/// changes in a wave every 10 s.
 fn group(layers: usize) {
     const MEMBERS: usize = 4;
     let mut document = String::new();
-    for it in 0..MEMBERS {
+    for member in 0..MEMBERS {
         document += &format!(
-            "[[target]]\nname = \"g{it}\"\nserves = \"triage\"\nhall = \"ba-1\"\ncapacity = 64\nchecks_fence = true\n"
+            "[[target]]\nname = \"g{member}\"\nserves = \"triage\"\nhall = \"ba-1\"\ncapacity = 64\nchecks_fence = true\n"
         );
     }
     document += &format!(
@@ -244,14 +252,15 @@
     );
 }
 
+/// Memory and time to add `count` attempts to the at-most-once table.
 fn once_table(count: u64) {
     let before = memory();
     let options = once::Options { max_attempts: count as usize, ..once::Options::default() };
     let mut table = Table::new(options);
     let start = Instant::now();
-    for it in 0..count {
-        let request = RequestId(u128::from(it) << 64 | u128::from(it));
-        let _ = table.start(it / 100, AttemptId { request, number: 1 });
+    for number in 0..count {
+        let request = RequestId(u128::from(number) << 64 | u128::from(number));
+        let _ = table.start(number / 100, AttemptId { request, number: 1 });
     }
     let took = start.elapsed();
     println!(
@@ -263,6 +272,7 @@
     drop(table);
 }
 
+/// Time and memory to decide on an expert map, from an even map and from the map decided on.
 fn plans(ranks: usize, layers: usize) {
     let shape = Shape { ranks, layers, experts: ranks * 2, slots: 3 };
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -286,12 +296,12 @@
         std::hint::black_box(plan::decide(&options, &map, &estimate));
     }
     let took = start.elapsed().as_secs_f64() * 1_000.0 / f64::from(rounds);
-    let settled = match plan::decide(&options, &map, &estimate) {
+    let planned = match plan::decide(&options, &map, &estimate) {
         plan::Decision::Change { map, .. } => map,
         plan::Decision::Keep(_) => map.clone(),
     };
     let start = Instant::now();
-    std::hint::black_box(plan::decide(&options, &settled, &estimate));
+    std::hint::black_box(plan::decide(&options, &planned, &estimate));
     println!(
         "plan {ranks} ranks x {layers} layers: {took:.1} ms from an even map, {:.1} ms from a settled one, {:.1} MB, map {} B",
         start.elapsed().as_secs_f64() * 1_000.0,
@@ -300,9 +310,10 @@
     );
 }
 
+/// Time and memory to merge documents into the store and to build the catalogue from it.
 fn catalogue(targets: usize) {
     let before = memory();
-    // Documents of 50 targets, and the letter's customers with them.
+    // Each document declares 50 targets.
     let documents: Vec<Document> = (0..targets / 50)
         .map(|it| Document {
             key: format!("tatranska/d{it}.toml"),
@@ -322,13 +333,13 @@
     {
         return;
     }
-    let first = start.elapsed().as_secs_f64() * 1_000.0;
+    let merge_ms = start.elapsed().as_secs_f64() * 1_000.0;
     let start = Instant::now();
-    let built = Catalogue::build(&store);
-    let took = start.elapsed().as_secs_f64() * 1_000.0;
+    let catalogue = Catalogue::build(&store);
+    let build_ms = start.elapsed().as_secs_f64() * 1_000.0;
     println!(
-        "catalogue {} targets: {:.0} KB of documents, {first:.1} ms to take in, {took:.1} ms to build, {:.1} MB with the store",
-        built.targets.len(),
+        "catalogue {} targets: {:.0} KB of documents, {merge_ms:.1} ms to take in, {build_ms:.1} ms to build, {:.1} MB with the store",
+        catalogue.targets.len(),
         bytes as f64 / 1_024.0,
         memory() - before
     );
