--- a/crates/sablepass-load/src/main.rs
+++ b/crates/sablepass-load/src/main.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Measurement: expert-drift experiments, open-loop load, capacity slopes.
+//! `sablepass-load`, the measurement tool: compares policies for expert maps, sends open-loop load
+//! and measures resource usage.
 
 mod bench;
 mod capacity;
@@ -31,17 +32,17 @@
 
 fn run(matches: &ArgMatches) -> Result<(), Error> {
     match matches.subcommand() {
-        Some(("experts", it)) => Ok(experts::run(&cli::experts_options(it))?),
-        Some(("requests", it)) => {
-            requests::run(&cli::requests_options(it));
+        Some(("experts", args)) => Ok(experts::run(&cli::experts_options(args))?),
+        Some(("requests", args)) => {
+            requests::run(&cli::requests_options(args));
             Ok(())
         }
-        Some(("capacity", it)) => {
-            cli::slopes(it).into_iter().for_each(capacity::run);
+        Some(("capacity", args)) => {
+            cli::slopes(args).into_iter().for_each(capacity::run);
             Ok(())
         }
-        Some(("overload", it)) => {
-            let (multiples, options) = cli::overload_options(it);
+        Some(("overload", args)) => {
+            let (multiples, options) = cli::overload_options(args);
             overload::run(&multiples, options);
             Ok(())
         }
