--- a/crates/sablepass-load/src/experts.rs
+++ b/crates/sablepass-load/src/experts.rs
@@ -1,12 +1,12 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Policies for expert maps, compared under the same drift.
+//! The `experts` subcommand: compares policies for expert maps under the same drift.
 //!
-//! Every policy sees the same counts, late and with gaps, and starts from a
-//! map made for the popularity at the start. A step lasts as long as its most
-//! loaded rank needs, so a skew of 1.2 loses a fifth of a step. A change of
-//! map takes effect when its weights are loaded; loading delays other work.
+//! All policies receive the same token counts, delayed and with some reports lost, and start from a
+//! map built for the initial popularity. The most loaded rank determines the duration of a step, so
+//! a skew of 1.2 loses a fifth of a step. A new map takes effect once its weights are loaded, and
+//! loading delays other work.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -20,46 +20,47 @@
 use crate::drift::{Kind, Source};
 use crate::trace;
 
-/// Steps between two counts.
-const SAMPLE: u64 = 10;
+/// Steps between two reports of token counts.
+const SAMPLE_STEPS: u64 = 10;
 
-/// Why an experiment cannot run.
+/// Errors that prevent an experiment.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The trace cannot be used.
     #[snafu(transparent)]
     Trace {
-        /// Why.
+        /// Cause.
         source: trace::Error,
     },
-    /// The shape holds no map.
-    #[snafu(display("no map fits the shape: {source}"))]
+    /// No map can be built for the shape.
+    #[snafu(display("cannot build a map for this shape: {source}"))]
     Shape {
-        /// Why.
+        /// Cause.
         source: map::Error,
     },
-    /// A size is 0 or too large.
+    /// A size of the shape is out of range.
     #[snafu(display("ranks, layers, experts and slots must be 1 to 4096"))]
     Size,
 }
 
-/// Weights of skew and of moves.
+/// Weights of the two costs in the decision on a new map.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Of steps lost to skew.
+    /// Weight of the steps lost to skew.
     pub skew: f64,
-    /// Of work delayed by moves.
+    /// Weight of the work delayed by moves of experts.
     pub moves: f64,
 }
 
-/// Tatranská: skew weighs most.
+/// Weights of an operator for whom steps lost to skew cost more than moves.
 const TATRANSKA: Weights = Weights { skew: 1.0, moves: 0.2 };
-/// Masa Norte: rebalancing cost weighs most.
+/// Weights of an operator for whom moves cost more than steps lost to skew.
 const MASA: Weights = Weights { skew: 0.2, moves: 1.0 };
 
-/// Reads `skew=X,moves=Y`.
+/// Parses weights of the form `skew=X,moves=Y`.
 pub fn parse_weights(text: &str) -> Result<Weights, String> {
-    let bad = || format!("{text:?} does not read skew=X,moves=Y with numbers of 0 or more");
+    let bad =
+        || format!("invalid weights {text:?}; expected skew=X,moves=Y with numbers of 0 or more");
     let mut weights = Weights { skew: f64::NAN, moves: f64::NAN };
     for part in text.split(',') {
         let (name, value) = part.split_once('=').ok_or_else(bad)?;
@@ -74,42 +75,47 @@
     if fits { Ok(weights) } else { Err(bad()) }
 }
 
-/// What to run.
+/// Options of an experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Seed.
+    /// Seed of the synthetic drift.
     pub seed: u64,
-    /// A trace instead of made-up drift.
+    /// File with a trace to use instead of synthetic drift.
     pub trace: Option<PathBuf>,
-    /// One more row.
+    /// Weights of an additional policy.
     pub weights: Option<Weights>,
-    /// Size of the group.
+    /// Shape of the group's expert maps.
     pub shape: Shape,
-    /// Steps.
+    /// Steps of synthetic drift.
     pub steps: u64,
     /// Steps between two decisions.
     pub period: u64,
-    /// Steps by which counts lag.
+    /// Delay of the counts, in steps.
     pub lag: u64,
-    /// Work in steps that one loading delays.
+    /// Work that loading one expert delays, in steps.
     pub move_cost: f64,
-    /// Steps that one loading takes at the store.
+    /// Time to load one expert from the store, in steps.
     pub load_steps: f64,
-    /// Bytes of one expert's weights in a layer.
+    /// Size of one expert's weights in a layer, in bytes.
     pub expert_bytes: f64,
-    /// JSON instead of a table.
+    /// Whether to print JSON lines instead of a table.
     pub json: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Policy {
+    /// Keeps the initial map.
     Never,
+    /// Builds a new map at every decision.
     Rebuild,
+    /// Makes every move that reduces skew, regardless of its cost.
     Greedy,
+    /// Decides as the planner does, with these weights.
     Weighed(Weights),
 }
 
 impl Policy {
+    /// Returns the map to change to, if any.
     fn decide(self, options: &Options, map: &Map, estimate: &Estimate) -> Option<Map> {
         let weighed = |weights: Weights| plan::Options {
             skew_weight: weights.skew,
@@ -134,22 +140,23 @@
     }
 }
 
-/// One policy's run.
+/// State of one policy in an experiment.
 struct Run {
     policy: Policy,
     name: &'static str,
     map: Map,
     estimate: Estimate,
-    /// A new map and the step at which its weights are loaded.
+    /// The next map and the step at which all its weights are loaded.
     loading: Option<(u64, Map)>,
+    /// Mean skew of all layers, by sample.
     skews: Vec<f64>,
     moves: usize,
 }
 
 impl Run {
     fn step(&mut self, step: u64, tokens: &[Vec<f64>]) {
-        if let Some((at, map)) = self.loading.take_if(|it| it.0 <= step) {
-            debug_assert!(at <= step);
+        if let Some((loaded_at, map)) = self.loading.take_if(|it| it.0 <= step) {
+            debug_assert!(loaded_at <= step);
             self.map = map;
         }
         let skews = self.map.skews(tokens);
@@ -165,26 +172,31 @@
         };
         let moves = map.moves_from(&self.map);
         self.moves += moves;
-        let loaded = step + (moves as f64 * options.load_steps).ceil() as u64;
-        self.loading = Some((loaded, map));
+        let loaded_at = step + (moves as f64 * options.load_steps).ceil() as u64;
+        self.loading = Some((loaded_at, map));
     }
 }
 
-/// A line of the result.
+/// Results of one policy under one kind of drift.
 struct Row {
     drift: &'static str,
     policy: &'static str,
-    mean: f64,
-    worst: f64,
+    mean_skew: f64,
+    p95_skew: f64,
+    /// Excess of the mean skew over the bound, in percent.
     over_bound: f64,
     moves: usize,
+    /// Bytes loaded from the store.
     bytes: f64,
-    lost: f64,
-    delayed: f64,
+    /// Steps lost to skew.
+    lost_steps: f64,
+    /// Work delayed by loading, in steps.
+    delayed_steps: f64,
+    /// Weighted sum of the two costs, by the weights in `TATRANSKA` and `MASA`.
     costs: [f64; 2],
 }
 
-/// Runs and prints.
+/// Runs the experiment and prints its results.
 pub fn run(options: &Options) -> Result<(), Error> {
     let shape = options.shape;
     let sizes = [shape.ranks, shape.layers, shape.experts, shape.slots];
@@ -194,18 +206,19 @@
     let rows = match &options.trace {
         Some(file) => {
             let trace = trace::open(file, shape)?;
-            let mut counts = trace.into_iter();
+            let mut samples = trace.into_iter();
             experiment(options, "trace", || {
-                counts.next().map(|it| (it.0, it.1.clone(), Some(it.1)))
+                samples.next().map(|it| (it.0, it.1.clone(), Some(it.1)))
             })?
         }
-        None => made_up(options)?,
+        None => synthetic(options)?,
     };
     print(options, &rows);
     Ok(())
 }
 
-fn made_up(options: &Options) -> Result<Vec<Row>, Error> {
+/// Runs all policies under each kind of synthetic drift.
+fn synthetic(options: &Options) -> Result<Vec<Row>, Error> {
     let mut rows = Vec::new();
     for kind in Kind::ALL {
         let mut source = Source::open(kind, options.shape, options.steps, options.seed);
@@ -214,10 +227,10 @@
             if step >= options.steps {
                 return None;
             }
-            source.advance(SAMPLE);
+            source.advance(SAMPLE_STEPS);
             let counts = source.draw(&source.expected(step));
             let report = (!source.loses_report()).then(|| counts.clone());
-            step += SAMPLE;
+            step += SAMPLE_STEPS;
             Some((step, counts, report))
         };
         rows.extend(experiment(options, kind.label(), next)?);
@@ -225,9 +238,10 @@
     Ok(rows)
 }
 
-/// Counts at a step, and the same as reported, unless that is lost.
+/// Step, token counts by layer and expert, and the reported counts unless the report is lost.
 type Sample = (u64, Vec<Vec<f64>>, Option<Vec<Vec<f64>>>);
 
+/// Runs all policies on the samples that `next` returns.
 fn experiment(
     options: &Options,
     drift: &'static str,
@@ -235,38 +249,39 @@
 ) -> Result<Vec<Row>, Error> {
     let shape = options.shape;
     let mut runs: Vec<Run> = Vec::new();
-    let mut late: VecDeque<(u64, Vec<Vec<f64>>)> = VecDeque::new();
+    let mut delayed: VecDeque<(u64, Vec<Vec<f64>>)> = VecDeque::new();
     let mut bounds = Vec::new();
-    let mut due = options.period;
+    let mut next_decision = options.period;
     while let Some((step, counts, report)) = next() {
         if runs.is_empty() {
             let map = place::rebuild(shape, &counts).map_err(|source| Error::Shape { source })?;
             runs = start(options, &map);
         }
-        late.extend(report.map(|it| (step, it)));
-        while late.front().is_some_and(|it| it.0 + options.lag <= step) {
-            let Some((at, report)) = late.pop_front() else {
+        delayed.extend(report.map(|it| (step, it)));
+        while delayed.front().is_some_and(|it| it.0 + options.lag <= step) {
+            let Some((reported_step, report)) = delayed.pop_front() else {
                 break;
             };
             for run in &mut runs {
-                run.estimate.observe(at, &report);
+                run.estimate.observe(reported_step, &report);
             }
         }
         bounds.push(bound(shape, &counts));
         for run in &mut runs {
             run.step(step, &counts);
-            if step >= due {
+            if step >= next_decision {
                 run.decide(options, step);
             }
         }
-        if step >= due {
-            due += options.period;
+        if step >= next_decision {
+            next_decision += options.period;
         }
     }
     let bound = bounds.iter().sum::<f64>() / bounds.len().max(1) as f64;
     Ok(runs.into_iter().map(|it| row(options, drift, bound, it)).collect())
 }
 
+/// Creates the state of each policy, all with the same initial map.
 fn start(options: &Options, map: &Map) -> Vec<Run> {
     let mut policies = vec![
         ("never", Policy::Never),
@@ -289,50 +304,51 @@
     policies.into_iter().map(run).collect()
 }
 
-/// Skew that no placement can beat: 1, or that of the hottest expert with
-/// all the copies that the slots allow.
+/// Lower bound of the skew of any placement: 1, or the skew that the most popular expert causes with
+/// as many copies as the slots allow. Returns the mean over all layers.
 fn bound(shape: Shape, tokens: &[Vec<f64>]) -> f64 {
     let copies = shape.ranks.min(shape.ranks * shape.slots + 1 - shape.experts) as f64;
-    let layer = |it: &Vec<f64>| {
-        let mean = it.iter().sum::<f64>() / shape.ranks as f64;
-        let hottest = it.iter().copied().fold(0.0, f64::max);
+    let layer = |experts: &Vec<f64>| {
+        let mean = experts.iter().sum::<f64>() / shape.ranks as f64;
+        let hottest = experts.iter().copied().fold(0.0, f64::max);
         if mean > 0.0 { (hottest / copies / mean).max(1.0) } else { 1.0 }
     };
     tokens.iter().map(layer).sum::<f64>() / tokens.len() as f64
 }
 
+/// Computes the results of a finished run.
 fn row(options: &Options, drift: &'static str, bound: f64, run: Run) -> Row {
     let mut skews = run.skews;
     let samples = skews.len().max(1) as f64;
-    let mean = skews.iter().sum::<f64>() / samples;
+    let mean_skew = skews.iter().sum::<f64>() / samples;
     skews.sort_by(f64::total_cmp);
-    let worst = skews.get(skews.len() * 95 / 100).copied().unwrap_or(1.0);
+    let p95_skew = skews.get(skews.len() * 95 / 100).copied().unwrap_or(1.0);
     let steps = if options.trace.is_some() { samples } else { options.steps as f64 };
-    let lost = (mean - 1.0) * steps;
-    let delayed = run.moves as f64 * options.move_cost;
-    let cost = |weights: Weights| weights.skew * lost + weights.moves * delayed;
+    let lost_steps = (mean_skew - 1.0) * steps;
+    let delayed_steps = run.moves as f64 * options.move_cost;
+    let cost = |weights: Weights| weights.skew * lost_steps + weights.moves * delayed_steps;
     Row {
         drift,
         policy: run.name,
-        mean,
-        worst,
-        over_bound: (mean / bound - 1.0) * 100.0,
+        mean_skew,
+        p95_skew,
+        over_bound: (mean_skew / bound - 1.0) * 100.0,
         moves: run.moves,
         bytes: run.moves as f64 * options.expert_bytes,
-        lost,
-        delayed,
+        lost_steps,
+        delayed_steps,
         costs: [cost(TATRANSKA), cost(MASA)],
     }
 }
 
 fn print(options: &Options, rows: &[Row]) {
     if options.json {
-        for it in rows {
+        for row in rows {
             let line = serde_json::json!({
-                "drift": it.drift, "policy": it.policy, "skew_mean": it.mean, "skew_p95": it.worst,
-                "over_bound_percent": it.over_bound, "moves": it.moves, "bytes": it.bytes,
-                "steps_lost": it.lost, "steps_delayed": it.delayed,
-                "cost_tatranska": it.costs[0], "cost_masa_norte": it.costs[1],
+                "drift": row.drift, "policy": row.policy, "skew_mean": row.mean_skew, "skew_p95": row.p95_skew,
+                "over_bound_percent": row.over_bound, "moves": row.moves, "bytes": row.bytes,
+                "steps_lost": row.lost_steps, "steps_delayed": row.delayed_steps,
+                "cost_tatranska": row.costs[0], "cost_masa_norte": row.costs[1],
             });
             println!("{line}");
         }
@@ -352,20 +368,20 @@
         "cost T",
         "cost M"
     );
-    for it in rows {
+    for row in rows {
         println!(
             "{:<8} {:<17} {:>6.3} {:>6.3} {:>7.1} {:>8} {:>8.1} {:>8.0} {:>8.0} {:>10.0} {:>10.0}",
-            it.drift,
-            it.policy,
-            it.mean,
-            it.worst,
-            it.over_bound,
-            it.moves,
-            it.bytes / 1e9,
-            it.lost,
-            it.delayed,
-            it.costs[0],
-            it.costs[1]
+            row.drift,
+            row.policy,
+            row.mean_skew,
+            row.p95_skew,
+            row.over_bound,
+            row.moves,
+            row.bytes / 1e9,
+            row.lost_steps,
+            row.delayed_steps,
+            row.costs[0],
+            row.costs[1]
         );
     }
 }
