--- a/crates/sablepass-load/src/requests.rs
+++ b/crates/sablepass-load/src/requests.rs
@@ -1,7 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! `requests`: open-loop load on given entries, or on a fleet of its own.
+//! The `requests` subcommand: sends open-loop load to the given entries, or to a fleet that it
+//! starts.
 
 use std::time::Duration;
 
@@ -11,116 +12,119 @@
 use crate::bench;
 use crate::traffic::{self, Plan, Seen, Stream};
 
-/// What to run.
+/// Options of a run. Those of the fleet apply if no entries are given.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Entries; none to start a fleet.
+    /// Addresses of entries; if empty, a fleet is started.
     pub entries: Vec<String>,
-    /// The caller's key at given entries.
+    /// API key for the given entries.
     pub key: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Tokens of an answer.
+    /// Tokens per answer.
     pub tokens: u64,
-    /// Seconds counted.
+    /// Length of the measurement, in seconds.
     pub seconds: u64,
-    /// Seconds before that.
+    /// Length of the warm-up, in seconds.
     pub warmup: u64,
-    /// Distinct prompt prefixes.
+    /// Number of distinct prompt prefixes.
     pub prefixes: u64,
-    /// Targets of the own fleet.
+    /// Number of targets in the fleet.
     pub targets: usize,
-    /// Milliseconds of a step there.
+    /// Step time of the fleet's targets, in milliseconds.
     pub step: u64,
-    /// The first target steps so many times slower.
+    /// Factor by which the steps of the first target are longer.
     pub slow: u64,
-    /// Policy there; all four in turn if "all".
+    /// Policy by which the fleet's entries choose targets; `all` runs four policies in turn.
     pub policy: String,
-    /// Calls the first target directly, without entry and agent.
+    /// Whether to send to the first target directly, without an entry and an agent.
     pub direct: bool,
-    /// Seed.
+    /// Seed of the arrival times.
     pub seed: u64,
-    /// JSON lines.
+    /// Whether to print JSON lines.
     pub json: bool,
 }
 
-/// Runs and prints.
-pub fn run(it: &Options) {
-    if !it.entries.is_empty() {
-        let seen = load(it, &it.entries, &it.key);
-        print(it, "given entries", &seen, "");
+/// Runs the load and prints the results.
+pub fn run(options: &Options) {
+    if !options.entries.is_empty() {
+        let stats = load(options, &options.entries, &options.key);
+        print(options, "given entries", &stats, "");
         return;
     }
     let all = ["round-robin", "least-load", "two-choices", "affinity"];
-    let policies: Vec<&str> = if it.policy == "all" { all.to_vec() } else { vec![&it.policy] };
+    let policies: Vec<&str> =
+        if options.policy == "all" { all.to_vec() } else { vec![&options.policy] };
     for policy in policies {
-        let fleet = start(it, policy);
-        let entries: Vec<String> = if it.direct {
+        let fleet = start(options, policy);
+        let entries: Vec<String> = if options.direct {
             vec![fleet.targets[0].base.clone()]
         } else {
             (0..fleet.entries.len()).map(|index| fleet.http(index)).collect()
         };
-        let seen = load(it, &entries, &bench::key("big"));
-        print(it, if it.direct { "direct" } else { policy }, &seen, &cache(&fleet));
+        let stats = load(options, &entries, &bench::key("big"));
+        print(options, if options.direct { "direct" } else { policy }, &stats, &cache(&fleet));
     }
 }
 
-fn start(it: &Options, policy: &str) -> Fleet {
-    let steps: Vec<u64> = (0..it.targets)
-        .map(|index| if index == 0 { it.step * it.slow.max(1) } else { it.step })
+/// Starts a fleet whose entries choose targets by `policy`.
+fn start(options: &Options, policy: &str) -> Fleet {
+    let steps: Vec<u64> = (0..options.targets)
+        .map(|index| if index == 0 { options.step * options.slow.max(1) } else { options.step })
         .collect();
     let document =
-        bench::targets("t", it.targets, 64) + &bench::customers(&[("big", 8), ("small", 2)]);
+        bench::targets("t", options.targets, 64) + &bench::customers(&[("big", 8), ("small", 2)]);
     bench::fleet(&document, &steps, 2, &format!("policy = {policy:?}\nexchanges = 4000"))
 }
 
-fn load(it: &Options, entries: &[String], key: &str) -> Seen {
-    // Of an own fleet's two customers one sends four times as much as the other.
-    let own = it.entries.is_empty();
+/// Sends the load and returns the statistics of all streams together.
+fn load(options: &Options, entries: &[String], key: &str) -> Seen {
+    // In a started fleet, one customer sends four times as many requests as the other.
+    let own_fleet = options.entries.is_empty();
     let stream = |name: &str, key: String, rate: f64| Stream {
         name: name.to_owned(),
         key,
-        model: it.model.clone(),
+        model: options.model.clone(),
         priority: "normal",
         rate,
-        tokens: it.tokens,
-        prefixes: it.prefixes,
+        tokens: options.tokens,
+        prefixes: options.prefixes,
     };
     let plan = Plan {
         entries: entries.to_vec(),
-        streams: if own {
-            let small = stream("b", bench::key("small"), it.rate * 0.2);
-            vec![stream("a", key.to_owned(), it.rate * 0.8), small]
+        streams: if own_fleet {
+            let small = stream("b", bench::key("small"), options.rate * 0.2);
+            vec![stream("a", key.to_owned(), options.rate * 0.8), small]
         } else {
-            vec![stream("a", key.to_owned(), it.rate)]
+            vec![stream("a", key.to_owned(), options.rate)]
         },
-        warmup: Duration::from_secs(it.warmup),
-        length: Duration::from_secs(it.seconds),
-        seed: it.seed,
+        warmup: Duration::from_secs(options.warmup),
+        length: Duration::from_secs(options.seconds),
+        seed: options.seed,
     };
     let mut all = traffic::run(&plan).into_values();
     let mut sum = all.next().unwrap_or_else(|| unreachable!("a plan has at least one stream"));
-    all.for_each(|seen| sum.add(&seen));
+    all.for_each(|stats| sum.add(&stats));
     sum
 }
 
-/// Hits of the engines' prefix caches.
+/// Describes the hit rate of the engines' prefix caches.
 fn cache(fleet: &Fleet) -> String {
     let (mut hits, mut runs) = (0, 0);
-    for it in &fleet.targets {
-        let counts = control(&it.base, "GET", "/control/cache", "");
+    for target in &fleet.targets {
+        let counts = control(&target.base, "GET", "/control/cache", "");
         hits += counts["hits"].as_u64().unwrap_or(0);
         runs += counts["runs"].as_u64().unwrap_or(0);
     }
     format!("cache hits {:.0}%", hits as f64 * 100.0 / runs.max(1) as f64)
 }
 
-fn print(it: &Options, name: &str, seen: &Seen, note: &str) {
-    if it.json {
-        println!("{}", traffic::json(name, seen));
+fn print(options: &Options, name: &str, stats: &Seen, note: &str) {
+    if options.json {
+        println!("{}", traffic::json(name, stats));
     } else {
-        println!("{} {note}", traffic::line(name, seen));
+        println!("{} {note}", traffic::line(name, stats));
     }
 }
