--- a/crates/sablepass-load/src/trace.rs
+++ b/crates/sablepass-load/src/trace.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reading a trace: CSV lines `step,layer,expert,tokens`.
+//! Reads traces of token counts: CSV lines `step,layer,expert,tokens`, sorted by step.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,80 +9,80 @@
 use sablepass_core::expert::map::Shape;
 use snafu::{ResultExt, Snafu};
 
-/// Why a trace cannot be used.
+/// Errors of reading a trace.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The file cannot be read.
-    #[snafu(display("{}: {source}", file.display()))]
+    #[snafu(display("cannot read {}: {source}", file.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A line is not of the form.
-    #[snafu(display("{}:{line}: {problem}; expected is step,layer,expert,tokens", file.display()))]
+    /// A line is invalid.
+    #[snafu(display("{}:{line}: {problem}; expected step,layer,expert,tokens", file.display()))]
     Line {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong.
+        /// Reason.
         problem: Problem,
     },
-    /// There are no lines.
-    #[snafu(display("{}: no counts", file.display()))]
+    /// The file has no counts.
+    #[snafu(display("{}: the file has no token counts", file.display()))]
     Empty {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
     },
 }
 
-/// What is wrong with a line.
+/// Reasons why a line is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Problem {
-    /// Not four fields.
+    /// The number of fields is not four.
     #[snafu(display("not four fields"))]
     Fields,
     /// A field is not a number.
-    #[snafu(display("not a number"))]
+    #[snafu(display("field is not a number"))]
     Number,
-    /// The layer is beyond the shape.
-    #[snafu(display("no such layer"))]
+    /// The shape has no such layer.
+    #[snafu(display("layer is out of range"))]
     Layer,
-    /// The expert is beyond the shape.
-    #[snafu(display("no such expert"))]
+    /// The shape has no such expert.
+    #[snafu(display("expert is out of range"))]
     Expert,
-    /// Tokens are negative or not finite.
-    #[snafu(display("tokens below 0 or not finite"))]
+    /// The number of tokens is negative or not finite.
+    #[snafu(display("number of tokens is negative or not finite"))]
     Tokens,
-    /// The step is before that of the line above.
-    #[snafu(display("step goes back"))]
+    /// The step is lower than on the previous line.
+    #[snafu(display("step is lower than on the previous line"))]
     Order,
 }
 
-/// Tokens of each layer's experts, by step.
+/// Token counts by step, layer and expert.
 pub type Trace = BTreeMap<u64, Vec<Vec<f64>>>;
 
-/// Reads a trace.
+/// Reads a trace. Counts of the same step, layer and expert are added up.
 pub fn open(file: &Path, shape: Shape) -> Result<Trace, Error> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     let mut trace = Trace::new();
-    let mut last = 0;
+    let mut previous_step = 0;
     for (index, line) in text.lines().enumerate() {
         let header = index == 0 && line.starts_with("step");
         if header || line.trim().is_empty() {
             continue;
         }
-        let parsed = parse(line, shape, last);
+        let parsed = parse(line, shape, previous_step);
         let (step, layer, expert, tokens) = parsed.map_err(|problem| Error::Line {
             file: file.to_owned(),
             line: index + 1,
             problem,
         })?;
-        last = step;
-        let empty = || vec![vec![0.0; shape.experts]; shape.layers];
-        trace.entry(step).or_insert_with(empty)[layer][expert] += tokens;
+        previous_step = step;
+        let zeros = || vec![vec![0.0; shape.experts]; shape.layers];
+        trace.entry(step).or_insert_with(zeros)[layer][expert] += tokens;
     }
     if trace.is_empty() {
         return EmptySnafu { file }.fail();
@@ -90,7 +90,12 @@
     Ok(trace)
 }
 
-fn parse(line: &str, shape: Shape, last: u64) -> Result<(u64, usize, usize, f64), Problem> {
+/// Parses a line as step, layer, expert and tokens.
+fn parse(
+    line: &str,
+    shape: Shape,
+    previous_step: u64,
+) -> Result<(u64, usize, usize, f64), Problem> {
     let fields: Vec<&str> = line.split(',').map(str::trim).collect();
     let [step, layer, expert, tokens] = fields[..] else {
         return Err(Problem::Fields);
@@ -108,7 +113,7 @@
     if !tokens.is_finite() || tokens < 0.0 {
         return Err(Problem::Tokens);
     }
-    if step < last {
+    if step < previous_step {
         return Err(Problem::Order);
     }
     Ok((step, layer, expert, tokens))
--- a/crates/sablepass-load/tests/load.rs
+++ b/crates/sablepass-load/tests/load.rs
@@ -1,32 +1,38 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The measurement tool's input and output.
+//! Tests of the input and output of `sablepass-load`.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
+/// Runs `sablepass-load`.
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_sablepass-load")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_sablepass-load"))
+        .args(args)
+        .output()
+        .expect("sablepass-load starts")
 }
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
+/// Writes a trace to a temporary file.
 fn trace(name: &str, body: &str) -> PathBuf {
     let name = format!("sablepass-trace-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, body).expect("written");
+    std::fs::write(&path, body).expect("the trace file is written");
     path
 }
 
-const SMALL: [&str; 8] = ["--ranks", "4", "--experts", "8", "--layers", "2", "--slots", "3"];
+const SMALL_GROUP: [&str; 8] = ["--ranks", "4", "--experts", "8", "--layers", "2", "--slots", "3"];
 
-fn experts(more: &[&str]) -> Output {
+/// Runs `experts` on a small group.
+fn experts(options: &[&str]) -> Output {
     let mut args = vec!["experts"];
-    args.extend(SMALL);
-    args.extend(more);
+    args.extend(SMALL_GROUP);
+    args.extend(options);
     run(&args)
 }
 
@@ -35,17 +41,17 @@
     let good = "step,layer,expert,tokens\n10,0,0,5\n20,1,7,6\n";
     let cases = [
         ("30,0,0", ":4: not four fields"),
-        ("x,0,0,1", ":4: not a number"),
-        ("30,2,0,1", ":4: no such layer"),
-        ("30,0,8,1", ":4: no such expert"),
-        ("30,0,0,-1", ":4: tokens below 0"),
-        ("5,0,0,1", ":4: step goes back"),
+        ("x,0,0,1", ":4: field is not a number"),
+        ("30,2,0,1", ":4: layer is out of range"),
+        ("30,0,8,1", ":4: expert is out of range"),
+        ("30,0,0,-1", ":4: number of tokens is negative"),
+        ("5,0,0,1", ":4: step is lower than on the previous line"),
     ];
     for (index, (line, expected)) in cases.iter().enumerate() {
         let file = trace(&index.to_string(), &format!("{good}{line}\n"));
         let out = experts(&["--trace", &file.to_string_lossy()]);
-        let said = text(&out.stderr);
-        assert!(!out.status.success() && said.contains(expected), "{expected}: {said}");
+        let stderr = text(&out.stderr);
+        assert!(!out.status.success() && stderr.contains(expected), "{expected}: {stderr}");
     }
     let empty = trace("empty", "step,layer,expert,tokens\n");
     assert!(!experts(&["--trace", &empty.to_string_lossy()]).status.success());
@@ -75,12 +81,12 @@
 }
 
 #[test]
-fn verify_noise_needs_no_moves_at_a_price() {
+fn verify_noise_causes_no_moves_when_moves_are_expensive() {
     let out = experts(&["--steps", "4000", "--weights", "skew=0.1,moves=5", "--json"]);
     let rows: Vec<serde_json::Value> =
         text(&out.stdout).lines().filter_map(|it| serde_json::from_str(it).ok()).collect();
     let row = rows.iter().find(|it| it["drift"] == "noise" && it["policy"] == "ours, given");
-    assert_eq!(row.expect("printed")["moves"], 0);
+    assert_eq!(row.expect("the row is printed")["moves"], 0);
 }
 
 #[test]
