--- a/crates/sablepass-load/src/traffic.rs
+++ b/crates/sablepass-load/src/traffic.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Open-loop traffic: requests start when they are due, however slow the
-//! answers to earlier ones are, so that a stall shows in the percentiles.
+//! Open-loop traffic for all subcommands that send requests: each request starts at its planned
+//! time, even if earlier ones are unanswered, so that a stall shows in the percentiles.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,66 +15,67 @@
 use rand_chacha::ChaCha8Rng;
 use sablepass_stand::client::{Answer, Ask};
 
-/// Stack of a caller's thread.
-const STACK: usize = 192 * 1024;
-/// Callers at once; arrivals beyond are counted as not started.
-const MOST: usize = 6_000;
+/// Stack size of a caller's thread; small, since there are up to `MAX_CALLERS` threads.
+const CALLER_STACK_BYTES: usize = 192 * 1024;
+/// Maximum number of concurrent callers; arrivals beyond it are counted as `not-started`.
+const MAX_CALLERS: usize = 6_000;
 
-/// One kind of caller.
+/// A stream of requests by callers of one kind.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    /// Name in the result.
+    /// Name in the results.
     pub name: String,
-    /// Key.
+    /// API key.
     pub key: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Priority header.
+    /// Value of the priority header.
     pub priority: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Tokens of an answer.
+    /// Tokens per answer.
     pub tokens: u64,
-    /// Distinct prompt prefixes.
+    /// Number of distinct prompt prefixes.
     pub prefixes: u64,
 }
 
-/// What to send.
+/// Load to send.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Entries, taken in turn.
+    /// Addresses of the entries, used in turn.
     pub entries: Vec<String>,
-    /// Kinds of callers.
+    /// Streams of requests, sent concurrently.
     pub streams: Vec<Stream>,
-    /// Time that is not counted.
+    /// Time before the measurement, whose requests are not recorded.
     pub warmup: Duration,
-    /// Time that is.
+    /// Length of the measurement.
     pub length: Duration,
-    /// Seed of arrivals.
+    /// Seed of the arrival times.
     pub seed: u64,
 }
 
-/// What callers of one kind saw.
+/// Statistics of the requests of one stream.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// Milliseconds to the first event.
+    /// Time to the first event, in milliseconds.
     pub first: Histogram<u64>,
-    /// Milliseconds between events.
+    /// Time between two events, in milliseconds.
     pub gaps: Histogram<u64>,
-    /// Requests started.
+    /// Recorded requests.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete and correct answers.
     pub whole: u64,
-    /// Answers that were not the request's own, or not whole and yet ended well.
+    /// Answers that reported success, but were incomplete or belonged to another request.
     pub wrong: u64,
-    /// Failures by reason.
+    /// Failed requests by reason.
     pub failed: BTreeMap<String, u64>,
 }
 
 impl Seen {
-    fn open() -> Self {
-        // Three digits of values up to an hour always fit a histogram.
-        let histogram = || Histogram::new_with_max(3_600_000, 3).expect("fixed bounds");
+    fn new() -> Self {
+        // Cannot fail: three significant digits up to an hour are valid bounds.
+        let histogram =
+            || Histogram::new_with_max(3_600_000, 3).expect("histogram bounds are valid");
         Self {
             first: histogram(),
             gaps: histogram(),
@@ -85,9 +86,9 @@
         }
     }
 
-    /// Adds what others saw.
+    /// Adds the statistics of another stream.
     pub fn add(&mut self, other: &Self) {
-        // Both have the same bounds.
+        // Adding cannot fail, since all histograms have the same bounds.
         let _ = self.first.add(&other.first);
         let _ = self.gaps.add(&other.gaps);
         self.sent += other.sent;
@@ -99,24 +100,26 @@
     }
 }
 
-/// What all callers saw, by kind.
+/// Statistics by the name of the stream.
 pub type Result = BTreeMap<String, Seen>;
 
 struct Shared {
     seen: Mutex<Result>,
-    busy: AtomicUsize,
+    /// Number of requests in progress.
+    active: AtomicUsize,
 }
 
 impl Shared {
-    fn with(&self, name: &str, change: impl FnOnce(&mut Seen)) {
+    /// Changes the statistics of the stream `name`.
+    fn update(&self, name: &str, change: impl FnOnce(&mut Seen)) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        change(seen.entry(name.to_owned()).or_insert_with(Seen::open));
+        change(seen.entry(name.to_owned()).or_insert_with(Seen::new));
     }
 }
 
-/// Sends a plan's requests and waits for the last answer.
+/// Sends the plan's requests and waits for all answers.
 pub fn run(plan: &Plan) -> Result {
-    let shared = Arc::new(Shared { seen: Mutex::default(), busy: AtomicUsize::new(0) });
+    let shared = Arc::new(Shared { seen: Mutex::default(), active: AtomicUsize::new(0) });
     let start = Instant::now();
     let handles: Vec<_> = plan
         .streams
@@ -124,20 +127,21 @@
         .enumerate()
         .map(|(index, stream)| {
             let (shared, plan, stream) = (shared.clone(), plan.clone(), stream.clone());
-            thread::spawn(move || arrivals(&shared, &plan, &stream, index as u64, start))
+            thread::spawn(move || send_stream(&shared, &plan, &stream, index as u64, start))
         })
         .collect();
     for it in handles {
-        // A thread of arrivals ends by itself.
+        // The thread returns at the end of the plan. A panic in it only ends its own stream.
         let _ = it.join();
     }
-    while shared.busy.load(Ordering::Relaxed) > 0 {
+    while shared.active.load(Ordering::Relaxed) > 0 {
         thread::sleep(Duration::from_millis(5));
     }
     shared.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
-fn arrivals(shared: &Arc<Shared>, plan: &Plan, stream: &Stream, index: u64, start: Instant) {
+/// Starts the requests of a stream at their arrival times, until the end of the plan.
+fn send_stream(shared: &Arc<Shared>, plan: &Plan, stream: &Stream, index: u64, start: Instant) {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed.wrapping_add(index * 7_919));
     let mut due = Duration::ZERO;
     let mut number = 0_u64;
@@ -148,11 +152,12 @@
         let entry = &plan.entries[(number as usize + index as usize) % plan.entries.len()];
         launch(shared, stream, entry, number, prefix, counted);
         number += 1;
-        // Exponential gaps make a Poisson process.
+        // Exponentially distributed intervals make the arrivals a Poisson process.
         due += Duration::from_secs_f64(-rng.random_range(1e-12..1.0_f64).ln() / stream.rate);
     }
 }
 
+/// Starts a request in a thread of its own, unless `MAX_CALLERS` are in progress.
 fn launch(
     shared: &Arc<Shared>,
     stream: &Stream,
@@ -161,27 +166,28 @@
     prefix: u64,
     counted: bool,
 ) {
-    if shared.busy.load(Ordering::Relaxed) >= MOST {
-        shared.with(&stream.name, |it| *it.failed.entry("not-started".into()).or_default() += 1);
+    if shared.active.load(Ordering::Relaxed) >= MAX_CALLERS {
+        shared.update(&stream.name, |it| *it.failed.entry("not-started".into()).or_default() += 1);
         return;
     }
-    shared.busy.fetch_add(1, Ordering::Relaxed);
-    let (shared2, stream2, entry) = (shared.clone(), stream.clone(), entry.to_owned());
+    shared.active.fetch_add(1, Ordering::Relaxed);
+    let (caller_shared, caller_stream, entry) = (shared.clone(), stream.clone(), entry.to_owned());
     let work = move || {
-        call(&shared2, &stream2, &entry, number, prefix, counted);
-        shared2.busy.fetch_sub(1, Ordering::Relaxed);
+        call(&caller_shared, &caller_stream, &entry, number, prefix, counted);
+        caller_shared.active.fetch_sub(1, Ordering::Relaxed);
     };
-    if thread::Builder::new().stack_size(STACK).spawn(work).is_err() {
-        shared.busy.fetch_sub(1, Ordering::Relaxed);
+    if thread::Builder::new().stack_size(CALLER_STACK_BYTES).spawn(work).is_err() {
+        shared.active.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
+/// Sends a request, reads its answer and, if `counted`, records the result.
 fn call(shared: &Shared, stream: &Stream, entry: &str, number: u64, prefix: u64, counted: bool) {
-    let word = format!("{}n{number}", stream.name);
-    // The prefix fills the part of the prompt that is cached.
-    let prompt = format!("{:0>256} say {word}", prefix);
-    let mut ask = Ask::chat(&stream.key, &stream.model, &word, stream.tokens, true);
-    ask.body = ask.body.replace(&format!("say {word}"), &prompt);
+    let tag = format!("{}n{number}", stream.name);
+    // The prefix is as long as the part of a prompt that engines cache.
+    let prompt = format!("{:0>256} say {tag}", prefix);
+    let mut ask = Ask::chat(&stream.key, &stream.model, &tag, stream.tokens, true);
+    ask.body = ask.body.replace(&format!("say {tag}"), &prompt);
     let ask = ask.with("x-sablepass-priority", stream.priority);
     let start = Instant::now();
     let mut last: Option<Instant> = None;
@@ -199,14 +205,15 @@
         last = Some(now);
     });
     if counted {
-        shared.with(&stream.name, |it| record(it, stream, &word, &answer, first, &gaps));
+        shared.update(&stream.name, |it| record(it, stream, &tag, &answer, first, &gaps));
     }
 }
 
+/// Adds a finished request to the statistics.
 fn record(
     seen: &mut Seen,
     stream: &Stream,
-    word: &str,
+    tag: &str,
     answer: &Answer,
     first: Option<Duration>,
     gaps: &[Duration],
@@ -214,7 +221,7 @@
     seen.sent += 1;
     let millis = |it: &Duration| it.as_millis().min(3_600_000) as u64;
     if answer.status == 200 && answer.reason().is_empty() {
-        let expected: String = (0..stream.tokens).map(|it| format!("{word}:{it} ")).collect();
+        let expected: String = (0..stream.tokens).map(|it| format!("{tag}:{it} ")).collect();
         if answer.done() && answer.text() == expected {
             seen.whole += 1;
         } else {
@@ -228,7 +235,7 @@
     *seen.failed.entry(reason).or_default() += 1;
 }
 
-/// One line of figures.
+/// Formats the statistics as a line of a table.
 pub fn line(name: &str, it: &Seen) -> String {
     let first = |at: f64| it.first.value_at_quantile(at);
     let gap = |at: f64| it.gaps.value_at_quantile(at);
@@ -248,7 +255,7 @@
     )
 }
 
-/// The same as JSON.
+/// Formats the statistics as JSON.
 pub fn json(name: &str, it: &Seen) -> serde_json::Value {
     let quantiles = |h: &Histogram<u64>| {
         serde_json::json!({
