--- a/crates/sablepass-load/src/requests.rs
+++ b/crates/sablepass-load/src/requests.rs
@@ -10,7 +10,7 @@
 use sablepass_stand::fleet::Fleet;
 
 use crate::bench;
-use crate::traffic::{self, Plan, Seen, Stream};
+use crate::traffic::{self, Plan, Stream, StreamStats};
 
 /// Options of a run. Those of the fleet apply if no entries are given.
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
 }
 
 /// Sends the load and returns the statistics of all streams together.
-fn load(options: &Options, entries: &[String], key: &str) -> Seen {
+fn load(options: &Options, entries: &[String], key: &str) -> StreamStats {
     // In a started fleet, one customer sends four times as many requests as the other.
     let own_fleet = options.entries.is_empty();
     let stream = |name: &str, key: String, rate: f64| Stream {
@@ -121,7 +121,7 @@
     format!("cache hits {:.0}%", hits as f64 * 100.0 / runs.max(1) as f64)
 }
 
-fn print(options: &Options, name: &str, stats: &Seen, note: &str) {
+fn print(options: &Options, name: &str, stats: &StreamStats, note: &str) {
     if options.json {
         println!("{}", traffic::json(name, stats));
     } else {
--- a/crates/sablepass-load/src/traffic.rs
+++ b/crates/sablepass-load/src/traffic.rs
@@ -56,7 +56,7 @@
 
 /// Statistics of the requests of one stream.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct StreamStats {
     /// Time to the first event, in milliseconds.
     pub first: Histogram<u64>,
     /// Time between two events, in milliseconds.
@@ -71,7 +71,7 @@
     pub failed: BTreeMap<String, u64>,
 }
 
-impl Seen {
+impl StreamStats {
     fn new() -> Self {
         // Cannot fail: three significant digits up to an hour are valid bounds.
         let histogram =
@@ -101,24 +101,24 @@
 }
 
 /// Statistics by the name of the stream.
-pub type Result = BTreeMap<String, Seen>;
+pub type StatsByStream = BTreeMap<String, StreamStats>;
 
 struct Shared {
-    seen: Mutex<Result>,
+    seen: Mutex<StatsByStream>,
     /// Number of requests in progress.
     active: AtomicUsize,
 }
 
 impl Shared {
     /// Changes the statistics of the stream `name`.
-    fn update(&self, name: &str, change: impl FnOnce(&mut Seen)) {
+    fn update(&self, name: &str, change: impl FnOnce(&mut StreamStats)) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        change(seen.entry(name.to_owned()).or_insert_with(Seen::new));
+        change(seen.entry(name.to_owned()).or_insert_with(StreamStats::new));
     }
 }
 
 /// Sends the plan's requests and waits for all answers.
-pub fn run(plan: &Plan) -> Result {
+pub fn run(plan: &Plan) -> StatsByStream {
     let shared = Arc::new(Shared { seen: Mutex::default(), active: AtomicUsize::new(0) });
     let start = Instant::now();
     let handles: Vec<_> = plan
@@ -211,7 +211,7 @@
 
 /// Adds a finished request to the statistics.
 fn record(
-    seen: &mut Seen,
+    seen: &mut StreamStats,
     stream: &Stream,
     tag: &str,
     answer: &Answer,
@@ -236,7 +236,7 @@
 }
 
 /// Formats the statistics as a line of a table.
-pub fn line(name: &str, it: &Seen) -> String {
+pub fn line(name: &str, it: &StreamStats) -> String {
     let first = |at: f64| it.first.value_at_quantile(at);
     let gap = |at: f64| it.gaps.value_at_quantile(at);
     let failed: Vec<String> =
@@ -256,7 +256,7 @@
 }
 
 /// Formats the statistics as JSON.
-pub fn json(name: &str, it: &Seen) -> serde_json::Value {
+pub fn json(name: &str, it: &StreamStats) -> serde_json::Value {
     let quantiles = |h: &Histogram<u64>| {
         serde_json::json!({
             "p50": h.value_at_quantile(0.5), "p95": h.value_at_quantile(0.95),
