--- a/crates/sablepass-stand/tests/tools.rs
+++ b/crates/sablepass-stand/tests/tools.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Command lines, settings files and the operators' tool.
+//! Tests of the command lines, the settings files and `sablepassctl`.
 
 mod common;
 
@@ -12,23 +12,27 @@
 use sablepass_stand::client::{Ask, control, metric};
 use sablepass_stand::process;
 
+/// Runs a program of the workspace.
 fn run(name: &str, args: &[&str]) -> Output {
-    Command::new(process::program(name)).args(args).output().expect("the program runs")
+    Command::new(process::program(name)).args(args).output().expect("the program starts")
 }
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
+/// Returns the path of an example file in `config`.
 fn config(name: &str) -> String {
     format!("{}/../../config/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
+/// Writes a file in a temporary directory of this process.
 fn write(name: &str, body: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("sablepass-tools-{}", std::process::id()));
     let path = dir.join(name);
-    std::fs::create_dir_all(path.parent().expect("a directory")).expect("made");
-    std::fs::write(&path, body).expect("written");
+    std::fs::create_dir_all(path.parent().expect("the path has a parent"))
+        .expect("the directory is created");
+    std::fs::write(&path, body).expect("the file is written");
     path
 }
 
@@ -53,7 +57,7 @@
 
 #[test]
 fn verify_bad_settings_name_the_key() {
-    let good = std::fs::read_to_string(config("entry.toml")).expect("read");
+    let good = std::fs::read_to_string(config("entry.toml")).expect("entry.toml is read");
     let cases = [
         (good.replace("http = ", "http_ = "), "http_"),
         (good.replace("# policy = \"affinity\"", "policy = \"luck\""), "policy = luck"),
@@ -65,14 +69,14 @@
     for (index, (body, expected)) in cases.iter().enumerate() {
         let file = write(&format!("bad{index}.toml"), body);
         let out = run("sablepass-entry", &["--config", &file.to_string_lossy(), "--check"]);
-        let said = text(&out.stderr);
-        assert!(!out.status.success() && said.contains(expected), "{expected}: {said}");
-        assert!(said.contains(&format!("bad{index}.toml")), "{said}");
+        let output = text(&out.stderr);
+        assert!(!out.status.success() && output.contains(expected), "{expected}: {output}");
+        assert!(output.contains(&format!("bad{index}.toml")), "{output}");
     }
 }
 
 #[test]
-fn verify_check_judges_like_a_process() {
+fn verify_check_refuses_invalid_documents() {
     let cases = [
         ("[[target]]\nname = \"masa/x\"\nserves = \"m\"\nhall = \"h\"\ncapacity = 1", "masa/x"),
         ("[[target]]\nname = \"x\"\nserves = \"m\"\nhall = \"h\"\ncapacity = 0", "capacity = 0"),
@@ -87,8 +91,8 @@
     for (index, (body, expected)) in cases.iter().enumerate() {
         let file = write(&format!("tatranska/d{index}.toml"), body);
         let out = run("sablepassctl", &["check", &file.to_string_lossy()]);
-        let said = text(&out.stdout);
-        assert!(!out.status.success() && said.contains(expected), "{expected}: {said}");
+        let output = text(&out.stdout);
+        assert!(!out.status.success() && output.contains(expected), "{expected}: {output}");
     }
 }
 
@@ -99,7 +103,7 @@
         "tatranska/bad.toml",
         "[[target]]\nname = \"t1\"\nserves = \"x\"\nhall = \"h\"\ncapacity = 1",
     );
-    let seen = || {
+    let status = || {
         let admin = fleet.admin(0);
         let out = run(
             "sablepassctl",
@@ -107,9 +111,11 @@
         );
         text(&out.stdout)
     };
-    sablepass_stand::client::wait_for("the clash is shown", || seen().contains("declared already"));
-    let shown = seen();
-    assert!(shown.contains("entry-1") && shown.contains("tatranska/t1"), "{shown}");
+    sablepass_stand::client::wait_for("the status shows the duplicate declaration", || {
+        status().contains("declared already")
+    });
+    let table = status();
+    assert!(table.contains("entry-1") && table.contains("tatranska/t1"), "{table}");
 }
 
 #[test]
@@ -117,8 +123,12 @@
     let fleet = fleet(false);
     let answer = Ask::chat(FARM, "triage", "explained", 2, false).send(&fleet.http(0));
     let out = run("sablepassctl", &["explain", "request", &answer.id, "-p", &fleet.admin(0)]);
-    let said = text(&out.stdout);
-    assert!(said.contains("admitted") && said.contains("answered") && said.contains("tatranska/t"));
+    let output = text(&out.stdout);
+    assert!(
+        output.contains("admitted")
+            && output.contains("answered")
+            && output.contains("tatranska/t")
+    );
     let unknown = run("sablepassctl", &["explain", "request", "00", "-p", &fleet.admin(0)]);
     assert!(!unknown.status.success());
 }
@@ -165,9 +175,9 @@
 fn verify_bad_requests() {
     let fleet = fleet(false);
     let ok = Ask::chat(FARM, "triage", "x", 1, false);
-    let with = |it: &dyn Fn(&mut Ask)| {
+    let with = |change: &dyn Fn(&mut Ask)| {
         let mut ask = ok.clone();
-        it(&mut ask);
+        change(&mut ask);
         ask
     };
     let large = "x".repeat(5 << 20);
@@ -216,13 +226,13 @@
 #[test]
 fn verify_limits_per_customer() {
     let fleet = fleet(false);
-    let limited =
+    let limited_customer =
         "[[customer]]\nname = \"small\"\nkey = \"tatranska:key-small-1\"\nshare = 1\nstreams = 1\n";
-    let revision = fleet.publish("tatranska/small.toml", limited);
+    let revision = fleet.publish("tatranska/small.toml", limited_customer);
     fleet.settle(3, revision);
     fleet.targets[..2].iter().for_each(|it| it.mode("freeze"));
     let addr = fleet.http(0);
-    let held = std::thread::spawn(move || {
+    let running = std::thread::spawn(move || {
         Ask::chat("tatranska:key-small-1", "triage", "held", 2, false).send(&addr)
     });
     common::busy_target(&fleet);
@@ -231,7 +241,7 @@
     assert_eq!((refused.status, refused.reason().as_str()), (429, "customer-limit"));
     assert_eq!(refused.retry_after, "1");
     fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
-    assert_eq!(held.join().expect("ends").status, 200);
+    assert_eq!(running.join().expect("the request thread ends").status, 200);
 }
 
 #[test]
