--- a/crates/sablepass-load/src/traffic.rs
+++ b/crates/sablepass-load/src/traffic.rs
@@ -58,9 +58,9 @@
 #[derive(Clone, Debug)]
 pub struct StreamStats {
     /// Time to the first event, in milliseconds.
-    pub first: Histogram<u64>,
+    pub first_event_ms: Histogram<u64>,
     /// Time between two events, in milliseconds.
-    pub gaps: Histogram<u64>,
+    pub gaps_ms: Histogram<u64>,
     /// Recorded requests.
     pub sent: u64,
     /// Complete and correct answers.
@@ -77,8 +77,8 @@
         let histogram =
             || Histogram::new_with_max(3_600_000, 3).expect("histogram bounds are valid");
         Self {
-            first: histogram(),
-            gaps: histogram(),
+            first_event_ms: histogram(),
+            gaps_ms: histogram(),
             sent: 0,
             whole: 0,
             wrong: 0,
@@ -89,8 +89,8 @@
     /// Adds the statistics of another stream.
     pub fn add(&mut self, other: &Self) {
         // Adding cannot fail, since all histograms have the same bounds.
-        let _ = self.first.add(&other.first);
-        let _ = self.gaps.add(&other.gaps);
+        let _ = self.first_event_ms.add(&other.first_event_ms);
+        let _ = self.gaps_ms.add(&other.gaps_ms);
         self.sent += other.sent;
         self.whole += other.whole;
         self.wrong += other.wrong;
@@ -104,7 +104,7 @@
 pub type StatsByStream = BTreeMap<String, StreamStats>;
 
 struct Shared {
-    seen: Mutex<StatsByStream>,
+    stats: Mutex<StatsByStream>,
     /// Number of requests in progress.
     active: AtomicUsize,
 }
@@ -112,14 +112,14 @@
 impl Shared {
     /// Changes the statistics of the stream `name`.
     fn update(&self, name: &str, change: impl FnOnce(&mut StreamStats)) {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        change(seen.entry(name.to_owned()).or_insert_with(StreamStats::new));
+        let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
+        change(stats.entry(name.to_owned()).or_insert_with(StreamStats::new));
     }
 }
 
 /// Sends the plan's requests and waits for all answers.
 pub fn run(plan: &Plan) -> StatsByStream {
-    let shared = Arc::new(Shared { seen: Mutex::default(), active: AtomicUsize::new(0) });
+    let shared = Arc::new(Shared { stats: Mutex::default(), active: AtomicUsize::new(0) });
     let start = Instant::now();
     let handles: Vec<_> = plan
         .streams
@@ -130,14 +130,14 @@
             thread::spawn(move || send_stream(&shared, &plan, &stream, index as u64, start))
         })
         .collect();
-    for it in handles {
-        // The thread returns at the end of the plan. A panic in it only ends its own stream.
-        let _ = it.join();
+    for handle in handles {
+        // The thread returns at the end of the plan. A panic in the thread only ends its own stream.
+        let _ = handle.join();
     }
     while shared.active.load(Ordering::Relaxed) > 0 {
         thread::sleep(Duration::from_millis(5));
     }
-    shared.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    shared.stats.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
 /// Starts the requests of a stream at their arrival times, until the end of the plan.
@@ -211,41 +211,41 @@
 
 /// Adds a finished request to the statistics.
 fn record(
-    seen: &mut StreamStats,
+    stats: &mut StreamStats,
     stream: &Stream,
     tag: &str,
     answer: &Answer,
     first: Option<Duration>,
     gaps: &[Duration],
 ) {
-    seen.sent += 1;
+    stats.sent += 1;
     let millis = |it: &Duration| it.as_millis().min(3_600_000) as u64;
     if answer.status == 200 && answer.reason().is_empty() {
         let expected: String = (0..stream.tokens).map(|it| format!("{tag}:{it} ")).collect();
         if answer.done() && answer.text() == expected {
-            seen.whole += 1;
+            stats.whole += 1;
         } else {
-            seen.wrong += 1;
+            stats.wrong += 1;
         }
-        seen.first.saturating_record(first.as_ref().map_or(0, millis));
-        gaps.iter().for_each(|it| seen.gaps.saturating_record(millis(it)));
+        stats.first_event_ms.saturating_record(first.as_ref().map_or(0, millis));
+        gaps.iter().for_each(|it| stats.gaps_ms.saturating_record(millis(it)));
         return;
     }
     let reason = if answer.status == 0 { "no-answer".to_owned() } else { answer.reason() };
-    *seen.failed.entry(reason).or_default() += 1;
+    *stats.failed.entry(reason).or_default() += 1;
 }
 
 /// Formats the statistics as a line of a table.
-pub fn line(name: &str, it: &StreamStats) -> String {
-    let first = |at: f64| it.first.value_at_quantile(at);
-    let gap = |at: f64| it.gaps.value_at_quantile(at);
+pub fn line(name: &str, stats: &StreamStats) -> String {
+    let first = |at: f64| stats.first_event_ms.value_at_quantile(at);
+    let gap = |at: f64| stats.gaps_ms.value_at_quantile(at);
     let failed: Vec<String> =
-        it.failed.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
+        stats.failed.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
     format!(
         "{name:<16} {:>6} {:>6} {:>5} | first p50 {:>5} p95 {:>5} p99 {:>5} | gap p50 {:>4} p95 {:>4} | {}",
-        it.sent,
-        it.whole,
-        it.wrong,
+        stats.sent,
+        stats.whole,
+        stats.wrong,
         first(0.5),
         first(0.95),
         first(0.99),
@@ -256,7 +256,7 @@
 }
 
 /// Formats the statistics as JSON.
-pub fn json(name: &str, it: &StreamStats) -> serde_json::Value {
+pub fn json(name: &str, stats: &StreamStats) -> serde_json::Value {
     let quantiles = |h: &Histogram<u64>| {
         serde_json::json!({
             "p50": h.value_at_quantile(0.5), "p95": h.value_at_quantile(0.95),
@@ -264,7 +264,7 @@
         })
     };
     serde_json::json!({
-        "name": name, "sent": it.sent, "whole": it.whole, "wrong": it.wrong,
-        "first_ms": quantiles(&it.first), "gap_ms": quantiles(&it.gaps), "failed": it.failed,
+        "name": name, "sent": stats.sent, "whole": stats.whole, "wrong": stats.wrong,
+        "first_ms": quantiles(&stats.first_event_ms), "gap_ms": quantiles(&stats.gaps_ms), "failed": stats.failed,
     })
 }
