--- a/crates/sablepass-load/src/traffic.rs
+++ b/crates/sablepass-load/src/traffic.rs
@@ -131,7 +131,7 @@
         })
         .collect();
     for handle in handles {
-        // The thread returns at the end of the plan. A panic in the thread only ends its own stream.
+        // The thread returns at the end of the plan. A panic ends only this thread's stream.
         let _ = handle.join();
     }
     while shared.active.load(Ordering::Relaxed) > 0 {
