--- a/crates/sablepass-ctl/src/show.rs
+++ b/crates/sablepass-ctl/src/show.rs
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// Writes the row of a document. `statuses` has its status at each process, with the process's name.
+/// Writes the row of a document. `statuses` has its status and the name of each process.
 fn write_document(out: &mut String, key: &str, statuses: &[(&Value, String)]) -> std::fmt::Result {
     let Some((latest, _)) = statuses.iter().max_by_key(|it| revision(it.0, "desired")) else {
         return Ok(());
--- a/crates/sablepass-load/src/experts.rs
+++ b/crates/sablepass-load/src/experts.rs
@@ -304,8 +304,8 @@
     policies.into_iter().map(run).collect()
 }
 
-/// Lower bound of the skew of any placement: 1, or the skew that the most popular expert causes with
-/// as many copies as the slots allow. Returns the mean over all layers.
+/// Lower bound of the skew of any placement: 1, or the skew that the most popular expert causes
+/// with as many copies as the slots allow. Returns the mean over all layers.
 fn bound(shape: Shape, tokens: &[Vec<f64>]) -> f64 {
     let copies = shape.ranks.min(shape.ranks * shape.slots + 1 - shape.experts) as f64;
     let layer = |experts: &Vec<f64>| {
--- a/crates/sablepass-load/src/overload.rs
+++ b/crates/sablepass-load/src/overload.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! The `overload` subcommand: sends more requests than the targets can serve, with one customer
-//! above its share and with mixed priorities, and optionally kills a third of the targets meanwhile.
+//! above its share and with mixed priorities, and optionally kills a third of the targets.
 
 use std::time::{Duration, Instant};
 
