--- a/crates/sablepass-stand/tests/common/running.rs
+++ b/crates/sablepass-stand/tests/common/running.rs
@@ -20,8 +20,8 @@
 pub const ENTRIES: usize = 5;
 /// Entries that all others know from the start.
 pub const SEEDS: usize = 3;
-/// Milliseconds after which nothing more may reach a target that leaves.
-pub const DRAINS: u64 = 2_000;
+/// Time after which no more requests may reach a target that is leaving, in milliseconds.
+pub const DRAIN_LIMIT_MS: u64 = 2_000;
 /// Era of the store after it was restored.
 pub const SECOND: u64 = 2;
 /// Time between two writes of a target's line.
@@ -123,7 +123,7 @@
         let (entry, _) = arrival.id.split_once('-').expect("a name");
         let entry: usize = entry.parse().expect("a number");
         let since = if entry == runs.0 { left.max(runs.1) } else { left };
-        if arrival.at > since + DRAINS {
+        if arrival.at > since + DRAIN_LIMIT_MS {
             *late.entry(entry).or_default() += 1;
         }
     }
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -20,7 +20,7 @@
 use sablepass_stand::replica::Replica;
 use sablepass_stand::site::{Pace, Site, ask};
 
-use crate::common::running::{DRAINS, ENTRIES, Running, SECOND, SEEDS, Way, late};
+use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, SECOND, SEEDS, Way, late};
 
 /// Entries that read the list of targets; the others learn from them.
 const READERS: usize = 2;
@@ -144,7 +144,7 @@
     let leaving = site.replicas[0].clone();
     tell(&site, 0, &leaving);
     let told = clock::now();
-    thread::sleep(Duration::from_millis(DRAINS));
+    thread::sleep(Duration::from_millis(DRAIN_LIMIT_MS));
     let mut line: serde_json::Value = serde_json::from_str(&leaving.entry("ready")).expect("JSON");
     line.as_object_mut().expect("an object").remove("born");
     site.store.put(&format!("servers/{}", leaving.id), &line.to_string());
@@ -222,7 +222,7 @@
     let (site, leaving) = site_with_an_earlier_life();
     tell(&site, 0, &leaving);
     let told = clock::now();
-    thread::sleep(Duration::from_millis(DRAINS));
+    thread::sleep(Duration::from_millis(DRAIN_LIMIT_MS));
     site.list(&leaving, "ready");
     thread::sleep(Duration::from_secs(1));
     assert_eq!(late_within_a_second(&site, &leaving, told), none());
@@ -240,7 +240,7 @@
     tell(&site, 0, &told);
     let left = clock::now();
     site.store.remove(&format!("servers/{}", removed.id));
-    thread::sleep(Duration::from_millis(DRAINS));
+    thread::sleep(Duration::from_millis(DRAIN_LIMIT_MS));
     for _ in 0..20 {
         let asked = Instant::now();
         let answer = ask("GET", "/safe/x", "0-after", "").send(&site.http(0));
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -15,7 +15,7 @@
 use sablepass_stand::keys::{Copy, Mode, Store};
 use sablepass_stand::replica::Replica;
 
-use crate::common::running::{DRAINS, ENTRIES, Running, SECOND, SEEDS, Way};
+use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, SECOND, SEEDS, Way};
 
 const WAYS: [Way; 3] = [Way::Draining, Way::Removed, Way::Told];
 const MOMENTS: [Moment; 4] = [Moment::Before, Moment::During, Moment::After, Moment::Later];
@@ -111,10 +111,10 @@
             (Way::Told, _) if arrival.leaves.is_some() => *told.entry(entry).or_insert(arrival.at),
             (Way::Told, _) => continue,
             (_, Moment::Before | Moment::Later) => left.at,
-            (_, Moment::During | Moment::After) => ended + SETTLED - DRAINS,
+            (_, Moment::During | Moment::After) => ended + SETTLED - DRAIN_LIMIT_MS,
         };
         let knows = if entry == fresh.0 { fresh.1 + STARTED } else { 0 };
-        if arrival.at > (since + DRAINS).max(knows) {
+        if arrival.at > (since + DRAIN_LIMIT_MS).max(knows) {
             *late.entry(entry).or_default() += 1;
         }
     }
@@ -151,7 +151,7 @@
         (!late.is_empty()).then(|| format!("{:?} {:?}: {late:?}", it.way, it.moment))
     };
     let wrong: Vec<String> = left.iter().filter_map(wrong).collect();
-    let used = |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAINS > over);
+    let used = |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAIN_LIMIT_MS > over);
     let used = live.iter().filter(used).count();
     running.end();
     assert!(wrong.is_empty(), "{trouble:?}: {wrong:#?}");
