--- a/crates/sablepass-stand/tests/common/running.rs
+++ b/crates/sablepass-stand/tests/common/running.rs
@@ -22,8 +22,8 @@
 pub const SEEDS: usize = 3;
 /// Time after which no more requests may reach a target that is leaving, in milliseconds.
 pub const DRAIN_LIMIT_MS: u64 = 2_000;
-/// Era of the store after it was restored.
-pub const SECOND: u64 = 2;
+/// Era of the store after its first restore from a backup.
+pub const RESTORED_ERA: u64 = 2;
 /// Time between two writes of a target's line.
 const BEAT: Duration = Duration::from_millis(300);
 
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -20,7 +20,7 @@
 use sablepass_stand::replica::Replica;
 use sablepass_stand::site::{Pace, Site, ask};
 
-use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, SECOND, SEEDS, Way, late};
+use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, RESTORED_ERA, SEEDS, Way, late};
 
 /// Entries that read the list of targets; the others learn from them.
 const READERS: usize = 2;
@@ -81,7 +81,7 @@
         let leaving = running.site.replicas[0].clone();
         let left = running.leave(&leaving, way);
         thread::sleep(Duration::from_millis(1_500));
-        running.site.store.restore(&copy, SECOND);
+        running.site.store.restore(&copy, RESTORED_ERA);
         let fresh = running.site.add_entry_at("", SEEDS);
         let started = clock::now();
         let status = || running.site.status(fresh)["revision"].as_u64();
@@ -105,7 +105,7 @@
         running.site.entries[sleeper].pause();
         let left = running.leave(&leaving, way);
         thread::sleep(Duration::from_millis(1_500));
-        running.site.store.restore(&copy, SECOND);
+        running.site.store.restore(&copy, RESTORED_ERA);
         thread::sleep(Duration::from_millis(700));
         running.site.entries[sleeper].wake();
         let woke = clock::now();
@@ -127,7 +127,7 @@
     thread::sleep(Duration::from_secs(1));
     let left = running.leave(&leaving, Way::Removed);
     thread::sleep(Duration::from_millis(700));
-    running.site.store.restore(&copy, SECOND);
+    running.site.store.restore(&copy, RESTORED_ERA);
     thread::sleep(Duration::from_secs(4));
     assert_eq!(late(&leaving, left, (0, 0)), none());
     running.end();
@@ -209,7 +209,7 @@
     wait_for("its present life is known", known);
     tell(&site, 0, &leaving);
     let told = clock::now();
-    site.store.restore(&copy, SECOND);
+    site.store.restore(&copy, RESTORED_ERA);
     thread::sleep(Duration::from_secs(4));
     site.add_replica("orders");
     thread::sleep(Duration::from_secs(1));
@@ -269,7 +269,7 @@
     let copy = site.store.copy();
     site.store.remove(&format!("servers/{}", site.replicas[0].id));
     wait_for("the agent knows who left", || knows(&agent) == Some(2));
-    site.store.restore(&copy, SECOND);
+    site.store.restore(&copy, RESTORED_ERA);
     site.list(&site.replicas[1], "ready");
     thread::sleep(Duration::from_secs(2));
     let bad = metric(&site.entries[0].addr("admin"), "sablepass_ignored_total", "bad-frame");
@@ -290,7 +290,7 @@
         let copy = store.copy();
         thread::sleep(Duration::from_millis(1_500));
         if restored {
-            store.restore(&copy, SECOND);
+            store.restore(&copy, RESTORED_ERA);
         }
         store.set(Mode::Up);
         let back = clock::now();
@@ -317,7 +317,7 @@
     running.leave(&back, Way::Removed);
     thread::sleep(Duration::from_secs(1));
     running.site.entries[sleeper].pause();
-    running.site.store.restore(&copy, SECOND);
+    running.site.store.restore(&copy, RESTORED_ERA);
     thread::sleep(Duration::from_secs(1));
     running.site.list(&back, "ready");
     thread::sleep(Duration::from_secs(1));
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -15,7 +15,7 @@
 use sablepass_stand::keys::{Copy, Mode, Store};
 use sablepass_stand::replica::Replica;
 
-use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, SECOND, SEEDS, Way};
+use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, RESTORED_ERA, SEEDS, Way};
 
 const WAYS: [Way; 3] = [Way::Draining, Way::Removed, Way::Told];
 const MOMENTS: [Moment; 4] = [Moment::Before, Moment::During, Moment::After, Moment::Later];
@@ -49,11 +49,11 @@
 
     fn end(self, store: &Store, copy: &Copy) {
         if matches!(self, Self::Restored | Self::RestoredTwice) {
-            store.restore(copy, SECOND);
+            store.restore(copy, RESTORED_ERA);
         }
         if self == Self::RestoredTwice {
             thread::sleep(Duration::from_millis(500));
-            store.restore(copy, SECOND + 1);
+            store.restore(copy, RESTORED_ERA + 1);
         }
         store.set(Mode::Up);
     }
