--- a/crates/sablepass-stand/tests/common/running.rs
+++ b/crates/sablepass-stand/tests/common/running.rs
@@ -34,8 +34,8 @@
     Draining,
     /// Its line is removed.
     Removed,
-    /// Its answers say so, while its line has it ready.
-    Told,
+    /// Its answers announce it, while its entry in the store still says ready.
+    Announced,
 }
 
 /// A site whose targets write their lines time after time, with callers at all entries.
@@ -103,7 +103,7 @@
                 writers.retain(|other| other.id != it.id);
                 self.site.store.remove(&format!("servers/{}", it.id));
             }
-            Way::Told => it.leave(),
+            Way::Announced => it.leave(),
         }
         clock::now()
     }
--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -20,7 +20,7 @@
 use sablepass_stand::replica::Replica;
 use sablepass_stand::site::{Pace, Site, ask};
 
-use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, RESTORED_ERA, SEEDS, Way, late};
+use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, RESTORED_ERA, Running, SEEDS, Way, late};
 
 /// Entries that read the list of targets; the others learn from them.
 const READERS: usize = 2;
--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -15,9 +15,9 @@
 use sablepass_stand::keys::{Copy, Mode, Store};
 use sablepass_stand::replica::Replica;
 
-use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, Running, RESTORED_ERA, SEEDS, Way};
+use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, RESTORED_ERA, Running, SEEDS, Way};
 
-const WAYS: [Way; 3] = [Way::Draining, Way::Removed, Way::Told];
+const WAYS: [Way; 3] = [Way::Draining, Way::Removed, Way::Announced];
 const MOMENTS: [Moment; 4] = [Moment::Before, Moment::During, Moment::After, Moment::Later];
 /// Targets that do not leave.
 const LIVE: usize = 3;
@@ -108,8 +108,10 @@
         let entry: usize = entry.parse().expect("a number");
         let since = match (left.way, left.moment) {
             // Only who was told is bound.
-            (Way::Told, _) if arrival.leaves.is_some() => *told.entry(entry).or_insert(arrival.at),
-            (Way::Told, _) => continue,
+            (Way::Announced, _) if arrival.leaves.is_some() => {
+                *told.entry(entry).or_insert(arrival.at)
+            }
+            (Way::Announced, _) => continue,
             (_, Moment::Before | Moment::Later) => left.at,
             (_, Moment::During | Moment::After) => ended + SETTLED - DRAIN_LIMIT_MS,
         };
@@ -132,7 +134,7 @@
     trouble.begin(&store);
     running.site.entries[ENTRIES - 1].kill();
     thread::sleep(Duration::from_millis(500));
-    let ways = if trouble.takes_lines() { &WAYS[..] } else { &[Way::Told] };
+    let ways = if trouble.takes_lines() { &WAYS[..] } else { &[Way::Announced] };
     left.extend(leave(&running, &mut unused, Moment::During, ways));
     thread::sleep(Duration::from_millis(1_500));
     trouble.end(&store, &copy);
