--- a/crates/sablepass-stand/tests/common/mod.rs
+++ b/crates/sablepass-stand/tests/common/mod.rs
@@ -72,9 +72,9 @@
 
 /// What a caller asked for and was told, for the judge.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Outcome {
     /// A word that stands only in this request.
-    pub word: String,
+    pub marker: String,
     /// It must not run more than once.
     pub once: bool,
     /// The whole answer, if it got one, must be this text.
@@ -84,23 +84,23 @@
 }
 
 /// Compares what callers were told with what the targets logged.
-pub fn judge(fleet: &Fleet, told: &[Told]) {
+pub fn check_outcomes(fleet: &Fleet, outcomes: &[Outcome]) {
     let logs: Vec<String> =
         fleet.targets.iter().flat_map(Target::runs).map(|it| it.to_string()).collect();
-    for it in told {
-        let runs = logs.iter().filter(|log| log.contains(&it.word)).count();
-        assert!(!it.once || runs <= 1, "{} ran {runs} times: {:?}", it.word, it.answer);
+    for it in outcomes {
+        let runs = logs.iter().filter(|log| log.contains(&it.marker)).count();
+        assert!(!it.once || runs <= 1, "{} ran {runs} times: {:?}", it.marker, it.answer);
         let not_run = it.answer.ran == "not-run";
-        assert!(!not_run || runs == 0, "{} ran {runs} times: {:?}", it.word, it.answer);
+        assert!(!not_run || runs == 0, "{} ran {runs} times: {:?}", it.marker, it.answer);
         if it.answer.status == 200 && it.answer.reason().is_empty() && it.answer.ran == "ran" {
-            assert_eq!(it.answer.text(), it.expected, "{}: {:?}", it.word, it.answer);
+            assert_eq!(it.answer.text(), it.expected, "{}: {:?}", it.marker, it.answer);
         }
     }
 }
 
 /// The text of a whole answer of so many tokens.
-pub fn expected(word: &str, tokens: u64) -> String {
-    (0..tokens).map(|it| format!("{word}:{it} ")).collect()
+pub fn expected(marker: &str, tokens: u64) -> String {
+    (0..tokens).map(|it| format!("{marker}:{it} ")).collect()
 }
 
 /// The index of the model target that runs something now; waits until one does.
--- a/crates/sablepass-stand/tests/faults.rs
+++ b/crates/sablepass-stand/tests/faults.rs
@@ -8,7 +8,7 @@
 
 use std::thread;
 
-use common::{FARM, Told, busy_target, expected, fleet, fleet_with, judge, now_text};
+use common::{FARM, Outcome, busy_target, check_outcomes, expected, fleet, fleet_with, now_text};
 use sablepass_stand::client::{Answer, Ask, wait_for};
 use sablepass_stand::fleet::{Fleet, Timers};
 
@@ -17,12 +17,12 @@
     thread::spawn(move || ask.send(&addr))
 }
 
-fn told(word: &str, once: bool, expected: String, answer: Answer) -> Told {
-    Told { word: word.to_owned(), once, expected, answer }
+fn outcome(marker: &str, once: bool, expected: String, answer: Answer) -> Outcome {
+    Outcome { marker: marker.to_owned(), once, expected, answer }
 }
 
-fn chat(word: &str, tokens: u64, stream: bool) -> Ask {
-    Ask::chat(FARM, "triage", word, tokens, stream)
+fn chat(marker: &str, tokens: u64, stream: bool) -> Ask {
+    Ask::chat(FARM, "triage", marker, tokens, stream)
 }
 
 #[test]
@@ -56,7 +56,7 @@
     fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
     let answer = call.join().expect("the caller ends");
     assert_eq!(answer.status, 200, "{answer:?}");
-    judge(&fleet, &[told("cutfirst", false, expected("cutfirst", 5), answer)]);
+    check_outcomes(&fleet, &[outcome("cutfirst", false, expected("cutfirst", 5), answer)]);
     assert!(fleet.entry_metric(0, "sablepass_retries_total", "contact-lost") >= 1.0);
 }
 
@@ -84,7 +84,7 @@
     // How many bytes an answer takes, measured; then the same again, cut 3 bytes early.
     let down = |it: usize| fleet.targets[it].fault("pass")["down"].as_u64().unwrap_or(0);
     let body = "x".repeat(3_000_000);
-    let ask = |word: &str| Ask::post(FARM, "/services/claims/echo", &format!("{word}{body}"));
+    let ask = |marker: &str| Ask::post(FARM, "/services/claims/echo", &format!("{marker}{body}"));
     let before = down(2);
     let whole = ask("lasta").send(&fleet.http(0));
     assert_eq!(whole.status, 200);
@@ -114,7 +114,7 @@
     let answer = call.join().expect("the caller ends");
     // The agent kept the answer, and the probe found it.
     assert_eq!(answer.status, 200, "{answer:?}");
-    judge(&fleet, &[told("unsafecut", true, expected("unsafecut", 5), answer)]);
+    check_outcomes(&fleet, &[outcome("unsafecut", true, expected("unsafecut", 5), answer)]);
 }
 
 #[test]
@@ -122,14 +122,14 @@
     let fleet = fleet(true);
     let mut all = Vec::new();
     for (round, bytes) in [40, 200, 100_000].into_iter().enumerate() {
-        let word = format!("halved{round}x");
+        let marker = format!("halved{round}x");
         fleet.targets[2].fault(&format!("cut-up {bytes}"));
-        let body = format!("{word} {}", "y".repeat(200_000));
+        let body = format!("{marker} {}", "y".repeat(200_000));
         let answer =
             Ask::post(FARM, "/services/claims/run", &body).only_once("").send(&fleet.http(0));
-        all.push(told(&word, true, String::new(), Answer { status: 0, ..answer }));
+        all.push(outcome(&marker, true, String::new(), Answer { status: 0, ..answer }));
     }
-    judge(&fleet, &all);
+    check_outcomes(&fleet, &all);
     assert!(all.iter().any(|it| it.answer.ran == "not-run"), "{all:?}");
 }
 
@@ -148,14 +148,14 @@
     fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
     let answer = once.join().expect("the caller ends");
     assert_eq!((answer.reason().as_str(), answer.ran.as_str()), ("agent-restarted", "unknown"));
-    let mut all = vec![told("killonce", true, expected("killonce", 5), answer)];
+    let mut all = vec![outcome("killonce", true, expected("killonce", 5), answer)];
     for (index, call) in safe.into_iter().enumerate() {
-        let word = format!("killsafe{index}x");
+        let marker = format!("killsafe{index}x");
         let answer = call.join().expect("the caller ends");
         assert_eq!(answer.status, 200, "{answer:?}");
-        all.push(told(&word, false, expected(&word, 5), answer));
+        all.push(outcome(&marker, false, expected(&marker, 5), answer));
     }
-    judge(&fleet, &all);
+    check_outcomes(&fleet, &all);
 }
 
 #[test]
@@ -181,7 +181,10 @@
             sablepass_stand::client::metric(&admin, "sablepass_refusals_total", "deadline-passed");
         late >= 1.0
     });
-    judge(&fleet, &[told("pausedonce", true, String::new(), Answer { status: 0, ..answer })]);
+    check_outcomes(
+        &fleet,
+        &[outcome("pausedonce", true, String::new(), Answer { status: 0, ..answer })],
+    );
     assert_eq!(fleet.targets[2].runs().len(), 0);
 }
 
@@ -199,8 +202,12 @@
     fleet.settle(3, 0);
     let again = Ask::post(FARM, "/services/claims/run", "afterpause").send(&fleet.http(0));
     assert_eq!(again.status, 200, "{again:?}");
-    judge(&fleet, &[told("longpause", true, String::new(), Answer { status: 0, ..answer })]);
-    let ran = |word: &str| fleet.targets[2].runs().iter().filter(|it| it["body"] == word).count();
+    check_outcomes(
+        &fleet,
+        &[outcome("longpause", true, String::new(), Answer { status: 0, ..answer })],
+    );
+    let ran =
+        |marker: &str| fleet.targets[2].runs().iter().filter(|it| it["body"] == marker).count();
     assert_eq!((ran("longpause"), ran("afterpause")), (0, 1));
 }
 
@@ -209,9 +216,9 @@
     let mut fleet = fleet(false);
     fleet.targets[0].server().kill();
     for it in 0..12 {
-        let word = format!("dead{it}x");
-        let answer = chat(&word, 3, false).send(&fleet.http(0));
-        assert_eq!(answer.text(), expected(&word, 3), "{answer:?}");
+        let marker = format!("dead{it}x");
+        let answer = chat(&marker, 3, false).send(&fleet.http(0));
+        assert_eq!(answer.text(), expected(&marker, 3), "{answer:?}");
     }
     fleet.targets[1].server().kill();
     let answer = chat("deadall", 3, false).send(&fleet.http(0));
@@ -226,9 +233,9 @@
     // A dead engine's target looks idle. Sent one after the other, more requests than the
     // retry budget has to spare must all be answered by the other one.
     for it in 0..80 {
-        let word = format!("few{it}x");
-        let answer = chat(&word, 1, false).send(&fleet.http(0));
-        assert_eq!(answer.text(), expected(&word, 1), "{it}: {answer:?}");
+        let marker = format!("few{it}x");
+        let answer = chat(&marker, 1, false).send(&fleet.http(0));
+        assert_eq!(answer.text(), expected(&marker, 1), "{it}: {answer:?}");
     }
     let retries = fleet.entry_metric(0, "sablepass_retries_total", "");
     assert!(retries <= 5.0, "{retries} retries for one dead engine");
@@ -255,9 +262,9 @@
     // New ones go elsewhere at once.
     let begun = std::time::Instant::now();
     for it in 0..8 {
-        let word = format!("later{it}x");
-        let answer = chat(&word, 3, false).send(&fleet.http(0));
-        assert_eq!(answer.text(), expected(&word, 3), "{answer:?}");
+        let marker = format!("later{it}x");
+        let answer = chat(&marker, 3, false).send(&fleet.http(0));
+        assert_eq!(answer.text(), expected(&marker, 3), "{answer:?}");
     }
     assert!(begun.elapsed().as_secs() < 2, "new requests waited for a stalled engine");
     fleet.targets[0].server().wake();
@@ -363,8 +370,8 @@
     fleet.settle(3, 0);
 }
 
-fn claim(word: &str, key: &str, made: &str) -> Ask {
-    let ask = Ask::post(FARM, "/services/claims/run", word).only_once(key);
+fn claim(marker: &str, key: &str, made: &str) -> Ask {
+    let ask = Ask::post(FARM, "/services/claims/run", marker).only_once(key);
     ask.with("x-sablepass-key-issued", made)
 }
 
@@ -382,13 +389,13 @@
     second_entry(&mut fleet);
     let made = key_time();
     for round in 0..20 {
-        let word = format!("twice{round}x");
+        let marker = format!("twice{round}x");
         let key = format!("key-{round}");
         let calls: Vec<_> =
-            (0..4).map(|it| start(claim(&word, &key, &made), fleet.http(it % 2))).collect();
+            (0..4).map(|it| start(claim(&marker, &key, &made), fleet.http(it % 2))).collect();
         let answers: Vec<Answer> = calls.into_iter().map(|it| it.join().expect("ends")).collect();
         let runs = fleet.targets[2].runs();
-        let runs = runs.iter().filter(|it| it.to_string().contains(&word)).count();
+        let runs = runs.iter().filter(|it| it.to_string().contains(&marker)).count();
         assert_eq!(runs, 1, "{answers:?}");
         assert!(answers.iter().all(|it| it.ran != "not-run"), "{answers:?}");
         assert!(answers.iter().any(|it| it.status == 200), "{answers:?}");
@@ -446,11 +453,11 @@
     fleet.platform_mode("down");
     let calls: Vec<_> = (0..30)
         .map(|it| {
-            let word = format!("both{it}x");
+            let marker = format!("both{it}x");
             let once = it % 2 == 0;
-            let ask = chat(&word, 30, it % 3 == 0);
+            let ask = chat(&marker, 30, it % 3 == 0);
             let ask = if once { ask.only_once("") } else { ask };
-            (word, once, start(ask, fleet.http(it % 2)))
+            (marker, once, start(ask, fleet.http(it % 2)))
         })
         .collect();
     busy_target(&fleet);
@@ -458,9 +465,9 @@
     fleet.restart_agent(1);
     fleet.targets[0].fault("pass");
     let mut all = Vec::new();
-    for (word, once, call) in calls {
+    for (marker, once, call) in calls {
         let answer = call.join().expect("the caller ends");
-        all.push(told(&word, once, expected(&word, 30), answer));
+        all.push(outcome(&marker, once, expected(&marker, 30), answer));
     }
-    judge(&fleet, &all);
+    check_outcomes(&fleet, &all);
 }
--- a/crates/sablepass-stand/tests/stops.rs
+++ b/crates/sablepass-stand/tests/stops.rs
@@ -7,7 +7,7 @@
 
 use std::thread;
 
-use common::{FARM, TATRANSKA, Told, expected, fleet, judge};
+use common::{FARM, Outcome, TATRANSKA, check_outcomes, expected, fleet};
 use sablepass_edge::clock;
 use sablepass_stand::client::{Answer, Ask, control, metric, wait_for};
 use sablepass_stand::fleet::{Fleet, Target};
@@ -18,7 +18,7 @@
 }
 
 /// Load on two entries' worth of callers until `done`; what each was told.
-fn load(fleet: &Fleet, callers: u64, mut done: impl FnMut() -> bool) -> Vec<Told> {
+fn load(fleet: &Fleet, callers: u64, mut done: impl FnMut() -> bool) -> Vec<Outcome> {
     let addr = fleet.http(0);
     let stop = std::sync::atomic::AtomicBool::new(false);
     thread::scope(|scope| {
@@ -26,19 +26,19 @@
             .map(|caller| {
                 let (addr, stop) = (addr.clone(), &stop);
                 scope.spawn(move || {
-                    let mut told = Vec::new();
+                    let mut outcomes = Vec::new();
                     let mut round = 0;
                     while !stop.load(std::sync::atomic::Ordering::Relaxed) {
-                        let word = format!("load{caller}r{round}x");
+                        let marker = format!("load{caller}r{round}x");
                         round += 1;
                         let once = caller % 2 == 0;
-                        let ask = Ask::chat(FARM, "triage", &word, 20, caller % 3 == 0);
+                        let ask = Ask::chat(FARM, "triage", &marker, 20, caller % 3 == 0);
                         let ask = if once { ask.only_once("") } else { ask };
                         let answer = ask.send(&addr);
-                        let expected = expected(&word, 20);
-                        told.push(Told { word, once, expected, answer });
+                        let expected = expected(&marker, 20);
+                        outcomes.push(Outcome { marker, once, expected, answer });
                     }
-                    told
+                    outcomes
                 })
             })
             .collect();
@@ -48,8 +48,8 @@
     })
 }
 
-fn all_whole(told: &[Told]) {
-    for it in told {
+fn all_whole(outcomes: &[Outcome]) {
+    for it in outcomes {
         assert_eq!(it.answer.status, 200, "{it:?}");
         assert_eq!(it.answer.text(), it.expected, "{it:?}");
     }
@@ -62,12 +62,12 @@
     let stop = format!("{TATRANSKA}\n[[stop]]\ntarget = \"t1\"\nat = {at}\n");
     fleet.publish("tatranska/main.toml", &stop);
     let target = &fleet.targets[0];
-    let told = load(&fleet, 8, || is_drained(target));
+    let outcomes = load(&fleet, 8, || is_drained(target));
     let runs_at_drain = target.runs().len();
     assert!(clock::now() >= at, "it stopped before its time");
     assert!(runs_at_drain > 0, "the target had no load to lose");
-    all_whole(&told);
-    judge(&fleet, &told);
+    all_whole(&outcomes);
+    check_outcomes(&fleet, &outcomes);
     // It gets nothing more.
     for it in 0..20 {
         let answer =
@@ -146,9 +146,9 @@
     fleet.entries[1].1.wake();
     // It still believes that the target is open; whatever it sends there is refused and moves on.
     for it in 0..20 {
-        let word = format!("woken{it}x");
-        let answer = Ask::chat(FARM, "triage", &word, 2, false).send(&fleet.http(1));
-        assert_eq!(answer.text(), expected(&word, 2), "{answer:?}");
+        let marker = format!("woken{it}x");
+        let answer = Ask::chat(FARM, "triage", &marker, 2, false).send(&fleet.http(1));
+        assert_eq!(answer.text(), expected(&marker, 2), "{answer:?}");
     }
     assert_eq!(fleet.targets[0].runs().len(), runs);
     wait_for("it learns", || {
