--- a/crates/sablepass-stand/tests/common/mod.rs
+++ b/crates/sablepass-stand/tests/common/mod.rs
@@ -1,9 +1,10 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The fleet that most tests start with.
+//! Helpers shared by the integration tests: a small fleet or site, callers, and checks of their
+//! answers.
 
-#![allow(dead_code, reason = "each test program uses a part")]
+#![allow(dead_code, reason = "each test binary uses only some of the items")]
 
 pub mod running;
 
@@ -14,12 +15,12 @@
 use sablepass_stand::fleet::{Fleet, Serves, Target, Timers};
 use sablepass_stand::site::{self, Site};
 
-/// Key of a customer of Tatranská.
+/// API key of a customer of the partner Tatranská.
 pub const FARM: &str = "tatranska:key-build-farm";
-/// Key of a customer of Masa Norte.
+/// API key of a customer of the partner Masa Norte.
 pub const BAKER: &str = "masa:key-baker-01";
 
-/// Declarations of Tatranská: two engines and one service.
+/// Configuration of Tatranská: two model targets, one service target and a customer.
 pub const TATRANSKA: &str = r#"
 [[target]]
 name = "t1"
@@ -44,7 +45,7 @@
 priority = "urgent"
 "#;
 
-/// Declarations of Masa Norte: a customer only.
+/// Configuration of Masa Norte: a customer and no targets.
 pub const MASA: &str = r#"
 [[customer]]
 name = "baker"
@@ -52,12 +53,13 @@
 share = 10
 "#;
 
-/// Two engines, a service and an entry, settled.
+/// Starts two model targets, a service target and an entry, and waits until they are ready.
+/// With `proxied`, connections to the targets run through a fault-injecting proxy.
 pub fn fleet(proxied: bool) -> Fleet {
     fleet_with(Timers::default(), proxied)
 }
 
-/// The same with other timers.
+/// Like [`fleet`], with the given timers.
 pub fn fleet_with(timers: Timers, proxied: bool) -> Fleet {
     let mut fleet = Fleet::open(timers);
     fleet.publish("tatranska/main.toml", TATRANSKA);
@@ -70,43 +72,63 @@
     fleet
 }
 
-/// What a caller asked for and was told, for the judge.
+/// A request's answer and what is expected of it.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// A word that stands only in this request.
+    /// Text that occurs in this request only, by which its runs are found in the targets' logs.
     pub marker: String,
-    /// It must not run more than once.
+    /// The request must not run more than once.
     pub once: bool,
-    /// The whole answer, if it got one, must be this text.
+    /// Text that a complete answer must have.
     pub expected: String,
-    /// What it was told.
+    /// Answer that the caller received.
     pub answer: Answer,
 }
 
-/// Compares what callers were told with what the targets logged.
+/// Asserts that answers agree with the targets' run logs: a request marked `once` ran at most
+/// once, one answered `not-run` never ran, and a complete answer has the expected text.
 pub fn check_outcomes(fleet: &Fleet, outcomes: &[Outcome]) {
     let logs: Vec<String> =
         fleet.targets.iter().flat_map(Target::runs).map(|it| it.to_string()).collect();
-    for it in outcomes {
-        let runs = logs.iter().filter(|log| log.contains(&it.marker)).count();
-        assert!(!it.once || runs <= 1, "{} ran {runs} times: {:?}", it.marker, it.answer);
-        let not_run = it.answer.ran == "not-run";
-        assert!(!not_run || runs == 0, "{} ran {runs} times: {:?}", it.marker, it.answer);
-        if it.answer.status == 200 && it.answer.reason().is_empty() && it.answer.ran == "ran" {
-            assert_eq!(it.answer.text(), it.expected, "{}: {:?}", it.marker, it.answer);
+    for outcome in outcomes {
+        let runs = logs.iter().filter(|log| log.contains(&outcome.marker)).count();
+        assert!(
+            !outcome.once || runs <= 1,
+            "{} ran {runs} times: {:?}",
+            outcome.marker,
+            outcome.answer
+        );
+        let not_run = outcome.answer.ran == "not-run";
+        assert!(
+            !not_run || runs == 0,
+            "{} was answered not-run but ran {runs} times: {:?}",
+            outcome.marker,
+            outcome.answer
+        );
+        if outcome.answer.status == 200
+            && outcome.answer.reason().is_empty()
+            && outcome.answer.ran == "ran"
+        {
+            assert_eq!(
+                outcome.answer.text(),
+                outcome.expected,
+                "{}: {:?}",
+                outcome.marker,
+                outcome.answer
+            );
         }
     }
 }
 
-/// The text of a whole answer of so many tokens.
+/// Returns the text of a complete answer of `tokens` tokens.
 pub fn expected(marker: &str, tokens: u64) -> String {
     (0..tokens).map(|it| format!("{marker}:{it} ")).collect()
 }
 
-/// The index of the model target that runs something now; waits until one does.
+/// Waits until a target runs a request and returns the target's index.
 pub fn busy_target(fleet: &Fleet) -> usize {
     let mut found = None;
-    wait_for("a target runs something", || {
+    wait_for("a target runs a request", || {
         let running = |it: &Target| it.runs().iter().any(|run| run["end"] == "running");
         found = fleet.targets.iter().position(running);
         found.is_some()
@@ -114,12 +136,13 @@
     found.unwrap_or_default()
 }
 
-/// Milliseconds since the Unix epoch, as callers say when they made a key.
+/// Returns the current time in milliseconds since the Unix epoch, as callers state it as the issue
+/// time of an idempotency key.
 pub fn now_text() -> String {
     sablepass_edge::clock::now().to_string()
 }
 
-/// So many replicas and entries of a small site, settled.
+/// Starts a site with this many replicas and entries, and waits until it is ready.
 pub fn site(replicas: usize, entries: usize) -> Site {
     let mut site = Site::open(replicas);
     for _ in 0..entries {
@@ -129,20 +152,20 @@
     site
 }
 
-/// Callers of a small site, and how often they ask.
+/// Callers of a site, and how often they send requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Callers {
-    /// Entries that they ask.
+    /// Number of entries that receive requests.
     pub entries: usize,
-    /// Callers at each of them.
+    /// Callers per entry.
     pub each: usize,
-    /// Time between an answer and the next request.
+    /// Pause between an answer and the caller's next request.
     pub pause: Duration,
 }
 
 impl Callers {
-    /// Sends requests of all kinds for so long. What they were answered; ids begin with the
-    /// entry's number.
+    /// Sends requests of all kinds for the time `lasts` and returns the answers. Request ids begin
+    /// with the entry's index.
     pub fn call(self, site: &Site, label: &str, lasts: Duration) -> Vec<Answer> {
         let until = Instant::now() + lasts;
         let caller = |entry: usize, caller: usize| {
@@ -156,10 +179,11 @@
             answers.collect::<Vec<Answer>>()
         };
         thread::scope(|scope| {
-            let all = (0..self.entries).flat_map(|entry| (0..self.each).map(move |it| (entry, it)));
+            let all = (0..self.entries)
+                .flat_map(|entry| (0..self.each).map(move |number| (entry, number)));
             let threads: Vec<_> =
-                all.map(|(entry, it)| scope.spawn(move || caller(entry, it))).collect();
-            threads.into_iter().flat_map(|it| it.join().expect("a caller ends")).collect()
+                all.map(|(entry, number)| scope.spawn(move || caller(entry, number))).collect();
+            threads.into_iter().flat_map(|it| it.join().expect("caller thread panicked")).collect()
         })
     }
 }
