--- a/crates/sablepass-stand/tests/common/running.rs
+++ b/crates/sablepass-stand/tests/common/running.rs
@@ -1,10 +1,10 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A site with the settings of the users' platform that runs all the time: targets write
-//! their lines, and callers ask all entries.
+//! A site under continuous load with the timing of the users' platform: targets renew their
+//! entries in the store, and callers send requests to all entries.
 
-#![allow(dead_code, reason = "each test program uses a part")]
+#![allow(dead_code, reason = "each test binary uses only some of the items")]
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,40 +16,41 @@
 use sablepass_stand::replica::Replica;
 use sablepass_stand::site::{Pace, Site, ask};
 
-/// Entries of a site.
+/// Number of entries of the site.
 pub const ENTRIES: usize = 5;
-/// Entries that all others know from the start.
+/// Number of entries that are the seed peers of the others.
 pub const SEEDS: usize = 3;
 /// Time after which no more requests may reach a target that is leaving, in milliseconds.
 pub const DRAIN_LIMIT_MS: u64 = 2_000;
 /// Era of the store after its first restore from a backup.
 pub const RESTORED_ERA: u64 = 2;
-/// Time between two writes of a target's line.
-const BEAT: Duration = Duration::from_millis(300);
+/// Interval at which targets renew their entries in the store.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How a target leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Its line says so.
+    /// Its entry in the store says draining.
     Draining,
-    /// Its line is removed.
+    /// Its entry is removed from the store.
     Removed,
     /// Its answers announce it, while its entry in the store still says ready.
     Announced,
 }
 
-/// A site whose targets write their lines time after time, with callers at all entries.
+/// A site whose targets renew their entries, with callers at all entries, until
+/// [`end`](Self::end).
 pub struct Running {
-    /// The site.
+    /// The site that receives the load.
     pub site: Site,
-    /// Targets that write their lines.
+    /// Targets that renew their entries in the store.
     writers: Arc<Mutex<Vec<Replica>>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Running {
-    /// Starts it.
+    /// Starts a site with this many targets and a caller at each entry.
     pub fn start(targets: usize) -> Self {
         let mut site = Site::open(targets);
         site.pace = Pace::Platform;
@@ -58,32 +59,32 @@
         }
         site.settle(targets);
         let writers = Arc::new(Mutex::new(site.replicas.clone()));
-        let mut it = Self { site, writers, over: Arc::default(), threads: Vec::new() };
-        it.write_lines();
-        (0..ENTRIES).for_each(|entry| it.call(entry));
+        let mut running = Self { site, writers, stopped: Arc::default(), threads: Vec::new() };
+        running.renew_entries();
+        (0..ENTRIES).for_each(|entry| running.call(entry));
         thread::sleep(Duration::from_secs(1));
-        it
+        running
     }
 
-    fn write_lines(&mut self) {
-        let (store, writers, over) =
-            (self.site.store.clone(), self.writers.clone(), self.over.clone());
+    fn renew_entries(&mut self) {
+        let (store, writers, stopped) =
+            (self.site.store.clone(), self.writers.clone(), self.stopped.clone());
         self.threads.push(thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
-                for it in writers.lock().unwrap_or_else(PoisonError::into_inner).iter() {
-                    store.put(&format!("servers/{}", it.id), &it.entry("ready"));
+            while !stopped.load(Ordering::Relaxed) {
+                for target in writers.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+                    store.put(&format!("servers/{}", target.id), &target.entry("ready"));
                 }
-                thread::sleep(BEAT);
+                thread::sleep(RENEWAL_INTERVAL);
             }
         }));
     }
 
-    /// Has a caller send requests to an entry, named after it.
+    /// Starts a caller that sends requests to an entry; request ids begin with the entry's index.
     pub fn call(&mut self, entry: usize) {
-        let (addr, over) = (self.site.http(entry), self.over.clone());
+        let (addr, stopped) = (self.site.http(entry), self.stopped.clone());
         self.threads.push(thread::spawn(move || {
             let mut number = 0;
-            while !over.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 ask("GET", "/safe/x", &format!("{entry}-{number}"), "").send(&addr);
                 number += 1;
                 thread::sleep(Duration::from_millis(10));
@@ -91,38 +92,42 @@
         }));
     }
 
-    /// Has a target leave; one that does so by its line writes nothing more. When that was.
-    pub fn leave(&self, it: &Replica, way: Way) -> u64 {
+    /// Makes a target leave and returns the time in milliseconds since the Unix epoch. A target
+    /// that leaves by its entry in the store no longer renews it.
+    pub fn leave(&self, target: &Replica, way: Way) -> u64 {
         let mut writers = self.writers.lock().unwrap_or_else(PoisonError::into_inner);
         match way {
             Way::Draining => {
-                writers.retain(|other| other.id != it.id);
-                self.site.list(it, "draining");
+                writers.retain(|other| other.id != target.id);
+                self.site.list(target, "draining");
             }
             Way::Removed => {
-                writers.retain(|other| other.id != it.id);
-                self.site.store.remove(&format!("servers/{}", it.id));
+                writers.retain(|other| other.id != target.id);
+                self.site.store.remove(&format!("servers/{}", target.id));
             }
-            Way::Announced => it.leave(),
+            Way::Announced => target.leave(),
         }
         clock::now()
     }
 
-    /// Ends callers and writers.
+    /// Stops the callers and the renewal of entries.
     pub fn end(mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.threads.drain(..).for_each(|it| it.join().expect("a thread ends"));
+        self.stopped.store(true, Ordering::Relaxed);
+        self.threads.drain(..).for_each(|it| it.join().expect("thread panicked"));
     }
 }
 
-/// Requests that reached a target too late, by the entry that sent them. An entry that did
-/// not run all the time had no more time than the others since it does.
-pub fn late(it: &Replica, left: u64, runs: (usize, u64)) -> HashMap<usize, usize> {
+/// Counts the requests that reached a target more than [`DRAIN_LIMIT_MS`] after it left, by the
+/// entry that sent them. `left` is the time at which the target left. `resumed` is an entry that
+/// did not run all the time and the time since which it runs: if that is after `left`, the limit
+/// counts from there. Times are in milliseconds since the Unix epoch.
+pub fn late(target: &Replica, left: u64, resumed: (usize, u64)) -> HashMap<usize, usize> {
     let mut late = HashMap::new();
-    for arrival in it.arrivals() {
-        let (entry, _) = arrival.id.split_once('-').expect("a name");
-        let entry: usize = entry.parse().expect("a number");
-        let since = if entry == runs.0 { left.max(runs.1) } else { left };
+    for arrival in target.arrivals() {
+        let (entry, _) =
+            arrival.id.split_once('-').expect("request id begins with an entry index and a hyphen");
+        let entry: usize = entry.parse().expect("entry index is a number");
+        let since = if entry == resumed.0 { left.max(resumed.1) } else { left };
         if arrival.at > since + DRAIN_LIMIT_MS {
             *late.entry(entry).or_default() += 1;
         }
