--- a/crates/sablepass-stand/tests/site.rs
+++ b/crates/sablepass-stand/tests/site.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The whole path on the users' platform: real entries, with stand-ins for
-//! the store and the replicas. The judge is what the replicas ran.
+//! End-to-end tests on the users' platform: real entries between callers and stand-ins for the
+//! store and the replicas. What ran is checked against the replicas' run logs.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -24,12 +24,12 @@
     site
 }
 
-fn all(site: &Site, mode: Mode) {
+fn set_all(site: &Site, mode: Mode) {
     site.replicas.iter().for_each(|it| it.set(mode));
 }
 
 #[test]
-fn verify_each_kind_passes_unchanged() {
+fn verify_each_kind_of_request_is_forwarded_unchanged() {
     let site = site(2);
     let addr = site.http(0);
     let stream = ask("POST", "/stream/a%20b?x=1&y", "s1", "prompt").send(&addr);
@@ -40,50 +40,55 @@
     assert_eq!((once.status, once.body.as_str()), (200, "one claim"));
     assert_eq!(once.id, "u1");
     let runs: Vec<_> = site.replicas.iter().flat_map(Replica::runs).collect();
-    let run = |id: &str| runs.iter().find(|it| it.id == id).expect("it ran").clone();
+    let run = |id: &str| runs.iter().find(|it| it.id == id).expect("the request ran").clone();
     assert_eq!(run("s1").line, "POST /stream/a%20b?x=1&y");
     assert_eq!(run("s1").body, b"prompt");
     assert_eq!(run("g1").line, "GET /safe/q?z=%2F");
-    for it in &runs {
-        assert_eq!(it.field("x-tenant"), CUSTOMER);
-        assert_eq!(it.field("authorization"), "", "the key is not shown to replicas");
-        let left: u64 = it.field("x-deadline-ms").parse().expect("a number");
-        assert!((1..=3_000).contains(&left), "{left} ms are left of a route's 3,000");
+    for run in &runs {
+        assert_eq!(run.field("x-tenant"), CUSTOMER);
+        assert_eq!(run.field("authorization"), "", "the API key must not be forwarded to replicas");
+        let remaining: u64 = run.field("x-deadline-ms").parse().expect("x-deadline-ms is a number");
+        assert!(
+            (1..=3_000).contains(&remaining),
+            "deadline of {remaining} ms, route timeout 3,000 ms"
+        );
     }
 }
 
-/// Retries and places are shared over all entries, and few of them read the list,
-/// also where most know but one of the others at their start.
+/// Entries share the retry budget and the targets' capacity, and only a few of them read the
+/// instance list. They must discover each other even if most of them start with a single seed.
 #[test]
-fn verify_entries_that_meet_at_a_seed_know_of_each_other() {
+fn verify_entries_with_one_common_seed_discover_each_other() {
     let mut site = Site::open(1);
     for _ in 0..6 {
         site.add_entry_at("", 1);
     }
     let known = |entry| site.status(entry)["entries"].as_u64();
-    wait_for("all entries are known", || (0..6).all(|it| known(it) == Some(6)));
+    wait_for("every entry counts all entries", || (0..6).all(|it| known(it) == Some(6)));
 }
 
-/// Whoever has not said that it is an entry changes nobody's share.
+/// Names of entries from a peer that has not identified itself as an entry must not change the
+/// number of entries, by which shares are computed.
 #[test]
-fn verify_names_of_entries_are_taken_from_entries_only() {
+fn verify_names_of_entries_are_accepted_from_entries_only() {
     let mut site = Site::open(1);
     site.add_entry("");
     site.settle(1);
     let names = (0..50).map(|it| format!("made-up-{it}")).collect();
     let mut bytes = Vec::new();
     let entries = Body::Entries(wire::Entries { names });
-    Codec::open().encode(entries, &mut bytes).expect("encoded");
-    let mut stranger = TcpStream::connect(site.entries[0].addr("peers")).expect("connected");
-    stranger.write_all(&bytes).expect("sent");
+    Codec::open().encode(entries, &mut bytes).expect("frame encoded");
+    let mut stranger =
+        TcpStream::connect(site.entries[0].addr("peers")).expect("the entry accepts peers");
+    stranger.write_all(&bytes).expect("frame sent");
     let admin = site.entries[0].addr("admin");
     let ignored = || metric(&admin, "sablepass_ignored_total", "reason=\"bad-frame\"");
-    wait_for("the names are counted as ignored", || ignored() >= 1.0);
+    wait_for("the frame is counted as ignored", || ignored() >= 1.0);
     assert_eq!(site.status(0)["entries"].as_u64(), Some(1));
 }
 
 #[test]
-fn verify_caller_that_leaves_cancels() {
+fn verify_disconnect_of_the_caller_cancels_the_request() {
     let site = site(1);
     for (id, mode) in [("gone-early", Mode::Hang), ("gone-late", Mode::Hold(2))] {
         site.replicas[0].set(mode);
@@ -92,26 +97,32 @@
             socket,
             "POST /stream/x HTTP/1.1\r\nhost: {HOST}\r\nauthorization: Bearer {KEY}\r\nx-request-id: {id}\r\ncontent-length: 0\r\n\r\n"
         )
-        .expect("written");
+        .expect("request sent");
         let replica = &site.replicas[0];
-        wait_for("it runs", || site.runs(id) == 1);
-        let left = Instant::now();
+        wait_for("the request runs", || site.runs(id) == 1);
+        let disconnected_at = Instant::now();
         drop(socket);
-        wait_for("it is dropped", || replica.runs().iter().any(|it| it.id == id && it.dropped));
-        assert!(left.elapsed() < Duration::from_millis(500), "{id}: {:?}", left.elapsed());
+        wait_for("the replica sees its connection close", || {
+            replica.runs().iter().any(|it| it.id == id && it.dropped)
+        });
+        assert!(
+            disconnected_at.elapsed() < Duration::from_millis(500),
+            "{id}: {:?}",
+            disconnected_at.elapsed()
+        );
         replica.set(Mode::Good);
     }
 }
 
 #[test]
-fn verify_stream_goes_on_after_a_reset_within_an_event() {
+fn verify_stream_resumes_after_a_reset_within_an_event() {
     let site = site(2);
     for event in 1..=EVENTS {
-        all(&site, Mode::ResetIn(event));
+        set_all(&site, Mode::ResetIn(event));
         let id = format!("reset-{event}");
         let answer = ask("POST", "/stream/x", &id, "p").send(&site.http(0));
-        // The second replica resets as well, unless it begins behind the event.
-        all(&site, Mode::Good);
+        // The second replica resets as well, unless it resumes after the event.
+        set_all(&site, Mode::Good);
         if answer.status == 200 {
             assert_eq!(answer.body, replica::whole(&id), "event {event}");
         }
@@ -127,24 +138,26 @@
         let again = site.replicas.iter().flat_map(Replica::runs);
         resumed += again.filter(|it| it.id == id && it.field("last-event-id") == "2").count();
     }
-    assert_eq!(resumed, 1, "one stream was taken up after its second event");
+    assert_eq!(resumed, 1, "exactly one stream must resume after its second event");
 }
 
 #[test]
-fn verify_stream_that_cannot_go_on_does_not_look_whole() {
+fn verify_stream_that_cannot_resume_does_not_look_complete() {
     let site = site(1);
     site.replicas[0].set(Mode::ResetIn(3));
     let mut configuration = site::configuration(2);
     configuration["routes"][0]["streamResume"] = json!(false);
     let revision = site.configure(&configuration);
-    wait_for("in force", || site.status(0)["documents"][0]["in_force"] == json!(revision));
+    wait_for("the configuration is in force", || {
+        site.status(0)["documents"][0]["in_force"] == json!(revision)
+    });
     let answer = ask("POST", "/stream/x", "cut", "p").send(&site.http(0));
-    assert_eq!(answer.status, 0, "the answer breaks off: {answer:?}");
+    assert_eq!(answer.status, 0, "the answer must be cut off: {answer:?}");
     assert_eq!(site.runs("cut"), 1);
 }
 
 #[test]
-fn verify_surplus_answer_goes_to_nobody() {
+fn verify_surplus_answer_is_discarded() {
     let site = site(1);
     site.replicas[0].set(Mode::Twice);
     for round in 0..30 {
@@ -155,7 +168,7 @@
 }
 
 #[test]
-fn verify_early_answer_spoils_no_connection() {
+fn verify_answer_before_the_whole_body_leaves_the_connection_usable() {
     let site = site(1);
     let body = "b".repeat(90_000);
     for round in 0..5 {
@@ -174,7 +187,7 @@
 }
 
 #[test]
-fn verify_answer_without_length_is_whole() {
+fn verify_answer_without_length_is_complete() {
     let site = site(1);
     site.replicas[0].set(Mode::Unsized);
     let answer = ask("POST", "/once/x", "unsized", "to the end").send(&site.http(0));
@@ -182,7 +195,7 @@
 }
 
 #[test]
-fn verify_proof_of_not_run_moves_any_request_on() {
+fn verify_request_that_provably_did_not_run_is_retried() {
     let site = site(2);
     site.replicas[0].set(Mode::Full);
     for round in 0..10 {
@@ -193,12 +206,12 @@
     site.replicas[1].set(Mode::Full);
     let answer = ask("POST", "/once/x", "none-left", "claim").send(&site.http(0));
     assert_eq!((answer.status, site.runs("none-left")), (503, 0), "{answer:?}");
-    let seconds: f64 = answer.retry_after.parse().expect("when to come back");
+    let seconds: f64 = answer.retry_after.parse().expect("Retry-After is a number of seconds");
     assert!(seconds > 0.0 && seconds < 1.0);
 }
 
 #[test]
-fn verify_address_of_another_replica_runs_nothing_twice() {
+fn verify_listing_with_a_stale_replica_id_runs_nothing_twice() {
     let site = site(2);
     let old = site.replicas[0].named("i-gone");
     site.list(&old, "ready");
@@ -212,7 +225,7 @@
 }
 
 #[test]
-fn verify_successor_at_an_address_gets_the_work_at_once() {
+fn verify_successor_at_an_address_gets_requests_at_once() {
     let mut site = site(0);
     let replica = Replica::spawn("orders");
     site.list(&replica.named("i-predecessor"), "ready");
@@ -226,27 +239,31 @@
         assert_eq!((answer.status, site.runs(&id)), (200, 1), "{answer:?}");
     }
     let admin = site.entries[0].addr("admin");
-    assert_eq!(metric(&admin, "sablepass_retries_total", "refused"), 0.0, "sent to who is gone");
+    assert_eq!(
+        metric(&admin, "sablepass_retries_total", "refused"),
+        0.0,
+        "requests were sent to the predecessor's id"
+    );
 }
 
 #[test]
-fn verify_unsafe_runs_once_and_is_never_told_not_run_without_proof() {
+fn verify_unsafe_request_runs_once_and_is_reported_not_run_only_with_proof() {
     let site = site(2);
     let bad = [Mode::CloseAfterRun, Mode::Garbage, Mode::Unsigned, Mode::BareBusy];
     for mode in bad {
-        all(&site, mode);
+        set_all(&site, mode);
         let id = format!("unsafe-{mode:?}");
         let answer = ask("POST", "/once/x", &id, "claim").send(&site.http(0));
         assert_eq!((answer.status, site.runs(&id)), (502, 1), "{mode:?}: {answer:?}");
     }
-    all(&site, Mode::Failing);
+    set_all(&site, Mode::Failing);
     let answer = ask("POST", "/once/x", "failing", "claim").send(&site.http(0));
     assert_eq!((answer.status, answer.body.as_str()), (500, "it failed"));
     assert_eq!(site.runs("failing"), 1);
 }
 
 #[test]
-fn verify_safe_request_is_tried_elsewhere() {
+fn verify_safe_request_is_retried_at_another_target() {
     for mode in [Mode::CloseAfterRun, Mode::Garbage, Mode::Unsigned, Mode::Failing, Mode::BareBusy]
     {
         let site = site(2);
@@ -256,68 +273,73 @@
             let answer = ask("POST", "/safe/x", &id, "question").send(&site.http(0));
             assert_eq!((answer.status, answer.body.as_str()), (200, "question"), "{mode:?}");
         }
-        all(&site, mode);
+        set_all(&site, mode);
         let answer = ask("POST", "/safe/x", "all-bad", "question").send(&site.http(0));
         assert!(matches!(answer.status, 500 | 502), "{mode:?}: {answer:?}");
-        assert_eq!(site.runs("all-bad"), 2, "{mode:?}: no more than the route's attempts");
+        assert_eq!(site.runs("all-bad"), 2, "{mode:?}: the route allows two attempts");
     }
 }
 
-/// Requests in a row, and how many of them a target that fails may get: three,
-/// and one after each time that it was left alone.
-const ROUNDS: usize = 100;
-const FEW: usize = 8;
+/// Requests sent one after the other.
+const REQUESTS: usize = 100;
+/// Requests that a failing target may get of these: three, and one after each back-off.
+const MAX_FAILED: usize = 8;
 
 #[test]
-fn verify_target_that_fails_gets_little_work() {
+fn verify_failing_target_gets_few_requests() {
     let site = site(4);
     site.replicas[0].set(Mode::Failing);
     let status = |round: usize| {
         ask("POST", "/once/x", &format!("grey-{round}"), "claim").send(&site.http(0)).status
     };
-    let failed = (0..ROUNDS).filter(|round| status(*round) != 200).count();
+    let failed = (0..REQUESTS).filter(|round| status(*round) != 200).count();
     let tried = site.replicas[0].runs().len();
-    assert!(failed <= FEW && tried <= FEW, "{failed} failed, {tried} sent there");
-    // It is sound again, and gets its part of the work.
+    assert!(
+        failed <= MAX_FAILED && tried <= MAX_FAILED,
+        "{failed} requests failed, {tried} reached the failing target"
+    );
+    // Once it has recovered, it gets requests again.
     site.replicas[0].set(Mode::Good);
-    wait_for("it gets work", || {
-        status(ROUNDS + site.replicas[1].runs().len());
+    wait_for("the recovered target gets requests", || {
+        status(REQUESTS + site.replicas[1].runs().len());
         site.replicas[0].runs().len() > tried
     });
 }
 
 #[test]
-fn verify_targets_that_all_fail_are_still_asked() {
+fn verify_requests_still_reach_targets_that_all_fail() {
     let site = site(2);
     site.replicas.iter().for_each(|it| it.set(Mode::Failing));
     for round in 0..20 {
         let id = format!("all-grey-{round}");
         let answer = ask("POST", "/once/x", &id, "claim").send(&site.http(0));
-        assert_eq!((answer.status, site.runs(&id)), (500, 1), "the target's own answer");
+        assert_eq!((answer.status, site.runs(&id)), (500, 1), "expected the target's own answer");
     }
 }
 
 #[test]
-fn verify_answer_at_the_route_timeout() {
+fn verify_route_timeout_is_answered_in_time() {
     let site = site(1);
     let mut configuration = site::configuration(2);
     for route in 0..3 {
         configuration["routes"][route]["timeoutMs"] = json!(300);
     }
     let revision = site.configure(&configuration);
-    wait_for("in force", || site.status(0)["documents"][0]["in_force"] == json!(revision));
+    wait_for("the configuration is in force", || {
+        site.status(0)["documents"][0]["in_force"] == json!(revision)
+    });
     site.replicas[0].set(Mode::Hang);
     for path in ["/stream/x", "/safe/x", "/once/x"] {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = ask("POST", path, path, "").send(&site.http(0));
-        let took = asked.elapsed();
+        let elapsed = sent_at.elapsed();
         assert_eq!(answer.status, 504, "{path}: {answer:?}");
-        assert!((280..700).contains(&(took.as_millis() as u64)), "{path}: {took:?}");
+        assert!((280..700).contains(&(elapsed.as_millis() as u64)), "{path}: {elapsed:?}");
     }
 }
 
 #[test]
-fn verify_store_down_at_the_start() {
+fn verify_entry_starts_while_the_store_is_down() {
     let mut site = Site::open(1);
     site.store.set(keys::Mode::Down);
     site.add_entry("");
@@ -333,7 +355,8 @@
     site.settle(1);
     assert_eq!(ready(&site, 0), 200);
     assert_eq!(ask("GET", "/safe/x", "later", "").send(&addr).status, 200);
-    // A new entry learns all from the first one while the store says nothing.
+    // A new entry gets the configuration and the list from the first one while the store does not
+    // answer.
     site.store.set(keys::Mode::Silent);
     site.add_entry("");
     site.settle(1);
@@ -342,7 +365,7 @@
 }
 
 #[test]
-fn verify_outage_of_the_store_changes_nothing() {
+fn verify_outage_of_the_store_does_not_affect_requests() {
     let site = site(2);
     for mode in [keys::Mode::Down, keys::Mode::Silent] {
         site.store.set(mode);
@@ -351,18 +374,20 @@
             assert_eq!(ask("GET", "/safe/x", &id, "").send(&site.http(0)).status, 200);
         }
     }
-    // Back again, with a history that it has forgotten, and a change meanwhile.
+    // The store is back without its event history, with a configuration written meanwhile.
     let mut configuration = site::configuration(9);
     configuration["routes"][1]["pathPrefix"] = json!("/new/");
     site.configure(&configuration);
     site.store.forget();
     site.store.set(keys::Mode::Up);
-    wait_for("the change", || ask("GET", "/new/x", "new", "").send(&site.http(0)).status == 200);
+    wait_for("the new route is in force", || {
+        ask("GET", "/new/x", "new", "").send(&site.http(0)).status == 200
+    });
     assert_eq!(ask("GET", "/safe/x", "old", "").send(&site.http(0)).status, 404);
 }
 
 #[test]
-fn verify_configuration_is_followed() {
+fn verify_new_configuration_comes_into_force() {
     let site = site(1);
     let addr = site.http(0);
     let status = |path: &str, key: &str| {
@@ -377,35 +402,35 @@
     configuration["tenants"][0]["apiKeys"] = json!(["the next key"]);
     configuration["routes"][1]["pathPrefix"] = json!("/safe/deeper/");
     site.configure(&configuration);
-    wait_for("the old key is out", || status("/safe/deeper/x", KEY) == 401);
+    wait_for("the old key is refused", || status("/safe/deeper/x", KEY) == 401);
     assert_eq!(status("/safe/deeper/x", "the next key"), 200);
     assert_eq!(status("/safe/x", "the next key"), 404);
 }
 
 #[test]
-fn verify_bad_items_lose_nothing() {
+fn verify_bad_items_in_the_store_change_nothing_else() {
     let site = site(1);
     let addr = site.http(0);
     site.store.put("op/config", "{\"version\": 3, \"routes\": \"none\"}");
     site.store.put_raw("servers/i-broken", "this is not base64!");
     site.store.put("servers/i-odd", "{\"service\":\"orders\",\"address\":\"nowhere\"}");
     let refused = |site: &Site| site.status(0)["documents"][0]["refused"].clone();
-    wait_for("the refusal shows", || refused(&site) != Value::Null);
+    wait_for("the status shows the refusal", || refused(&site) != Value::Null);
     let text = refused(&site).to_string();
     assert!(text.contains("op/config") && text.contains("routes"), "{text}");
     assert_eq!(ask("GET", "/safe/x", "still", "").send(&addr).status, 200);
-    let log = |site: &Site, event: &str| {
+    let logged = |site: &Site, event: &str| {
         site.entries[0].log().iter().any(|it| it["event"] == json!(event))
     };
-    wait_for("a line says so", || log(&site, "declaration refused"));
-    // What follows a bad item is still learnt.
+    wait_for("the refusal is logged", || logged(&site, "declaration refused"));
+    // Items that are written after a bad one still take effect.
     site.store.remove("servers/i-broken");
     site.configure(&site::configuration(4));
-    wait_for("the next one is in force", || refused(&site) == Value::Null);
+    wait_for("the next configuration is in force", || refused(&site) == Value::Null);
 }
 
 #[test]
-fn verify_leaving_replica_gets_no_new_work() {
+fn verify_draining_replica_gets_no_new_requests() {
     let site = site(2);
     site.list(&site.replicas[0], "draining");
     site.settle(1);
@@ -415,18 +440,19 @@
         assert_eq!(answer.status, 200);
     }
     assert_eq!(site.replicas[0].runs().len(), before);
-    // It is gone; so is the other one, and both come back at once.
-    let gone = Instant::now();
+    // Both replicas disappear from the list. The request is answered, or fails only after a wait.
+    let removed_at = Instant::now();
     site.store.remove(&format!("servers/{}", site.replicas[0].id));
     site.store.remove(&format!("servers/{}", site.replicas[1].id));
     let answer = ask("GET", "/safe/x", "lapsed", "").send(&site.http(0));
-    assert!(gone.elapsed() > Duration::from_secs(1) || answer.status == 200, "{answer:?}");
+    assert!(removed_at.elapsed() > Duration::from_secs(1) || answer.status == 200, "{answer:?}");
 }
 
-fn raw(site: &Site, request: &str) -> TcpStream {
+/// Connects to the entry and sends the bytes of `request` as they are.
+fn send_raw(site: &Site, request: &str) -> TcpStream {
     let mut socket = TcpStream::connect(site.http(0)).expect("the entry listens");
-    socket.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
-    socket.write_all(request.as_bytes()).expect("written");
+    socket.set_read_timeout(Some(Duration::from_secs(20))).expect("read timeout set");
+    socket.write_all(request.as_bytes()).expect("request sent");
     socket
 }
 
@@ -437,36 +463,39 @@
 }
 
 #[test]
-fn verify_declared_limits_hold() {
+fn verify_configured_limits_are_enforced() {
     let site = site(1);
     let head = format!("POST /safe/x HTTP/1.1\r\nhost: {HOST}\r\nauthorization: Bearer {KEY}\r\n");
     let long = format!("{head}x-long: {}\r\ncontent-length: 0\r\n\r\n", "l".repeat(5_000));
-    assert!(first_line(&mut raw(&site, &long)).contains(" 431 "));
+    assert!(first_line(&mut send_raw(&site, &long)).contains(" 431 "));
     let large = ask("POST", "/safe/x", "large", &"b".repeat(100_001)).send(&site.http(0));
     assert!(large.status == 413 || large.status == 0, "{large:?}");
-    assert!(first_line(&mut raw(&site, "no http at all\r\n\r\n")).contains(" 400 "));
-    let asked = Instant::now();
-    assert!(first_line(&mut raw(&site, &head)).contains(" 408 "), "a head that does not end");
-    assert!(asked.elapsed() > Duration::from_millis(1_400));
-    // A connection that rests is closed after its time, not much before.
+    assert!(first_line(&mut send_raw(&site, "no http at all\r\n\r\n")).contains(" 400 "));
+    let sent_at = Instant::now();
+    assert!(
+        first_line(&mut send_raw(&site, &head)).contains(" 408 "),
+        "an incomplete request head must time out"
+    );
+    assert!(sent_at.elapsed() > Duration::from_millis(1_400));
+    // An idle connection is closed after the idle timeout, not much before.
     let request = format!("{head}x-request-id: idle\r\ncontent-length: 0\r\n\r\n");
-    let mut socket = raw(&site, &request);
+    let mut socket = send_raw(&site, &request);
     assert!(first_line(&mut socket).contains(" 200 "));
-    let rested = Instant::now();
+    let idle_since = Instant::now();
     assert_eq!(socket.read(&mut [0; 16]).unwrap_or(1), 0);
-    assert!((1_600..8_000).contains(&(rested.elapsed().as_millis() as u64)));
-    assert_eq!(site.replicas[0].runs().len(), 1, "only the last one ran");
+    assert!((1_600..8_000).contains(&(idle_since.elapsed().as_millis() as u64)));
+    assert_eq!(site.replicas[0].runs().len(), 1, "only the last request may reach the replica");
 }
 
 #[test]
-fn verify_connection_is_kept_for_both_sides() {
+fn verify_connections_to_callers_and_replicas_are_reused() {
     let site = site(1);
-    let mut socket = raw(&site, "");
+    let mut socket = send_raw(&site, "");
     for round in 0..5 {
         let request = format!(
             "POST /safe/x HTTP/1.1\r\nhost: {HOST}\r\nauthorization: Bearer {KEY}\r\nx-request-id: k{round}\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
         );
-        socket.write_all(request.as_bytes()).expect("written");
+        socket.write_all(request.as_bytes()).expect("request sent");
         assert!(first_line(&mut socket).contains(" 200 "), "round {round}");
     }
     assert_eq!(site.replicas[0].connections(), 1);
@@ -474,7 +503,7 @@
 }
 
 #[test]
-fn verify_log_leads_from_a_request_to_its_cause() {
+fn verify_log_shows_the_cause_of_a_failed_request() {
     let site = site(1);
     site.replicas[0].set(Mode::CloseAfterRun);
     let answer = ask("POST", "/once/x", "why-failed", "claim").send(&site.http(0));
@@ -483,7 +512,7 @@
         let log = site.entries[0].log();
         log.into_iter().filter(|it| it["id"] == "why-failed").collect()
     };
-    wait_for("its lines", || lines(&site).iter().any(|it| it["event"] == "failed"));
+    wait_for("the failure is logged", || lines(&site).iter().any(|it| it["event"] == "failed"));
     let lines = lines(&site);
     let events: Vec<&str> = lines.iter().filter_map(|it| it["event"].as_str()).collect();
     assert_eq!(events, ["sent", "target broke off", "failed"], "{lines:?}");
@@ -498,32 +527,34 @@
 }
 
 #[test]
-fn verify_reload_cuts_no_request() {
+fn verify_reload_does_not_interrupt_requests() {
     let site = site(1);
     site.replicas[0].set(Mode::Hold(3));
     let addr = site.http(0);
     let call = std::thread::spawn(move || ask("POST", "/stream/x", "reload", "p").send(&addr));
-    wait_for("it runs", || site.runs("reload") == 1);
+    wait_for("the request runs", || site.runs("reload") == 1);
     site.entries[0].reload();
-    let said = |event: &str| site.entries[0].log().iter().any(|it| it["event"] == event);
-    wait_for("it says so", || said("settings reloaded"));
+    let logged = |event: &str| site.entries[0].log().iter().any(|it| it["event"] == event);
+    wait_for("the reload is logged", || logged("settings reloaded"));
     site.replicas[0].set(Mode::Good);
-    let answer: Answer = call.join().expect("the caller ends");
+    let answer: Answer = call.join().expect("the caller thread panicked");
     assert_eq!((answer.status, answer.body), (200, replica::whole("reload")));
 }
 
 #[test]
-fn verify_stop_cuts_no_request() {
+fn verify_graceful_shutdown_does_not_interrupt_requests() {
     let mut site = site(1);
     site.replicas[0].set(Mode::Hold(3));
     let addr = site.http(0);
     let call = std::thread::spawn(move || ask("POST", "/stream/x", "planned", "p").send(&addr));
-    wait_for("it runs", || site.runs("planned") == 1);
+    wait_for("the request runs", || site.runs("planned") == 1);
     site.entries[0].stop();
     let admin = site.entries[0].addr("admin");
-    wait_for("not ready", || ask("GET", "/-/readyz", "", "").send(&admin).status == 503);
+    wait_for("the entry reports that it is not ready", || {
+        ask("GET", "/-/readyz", "", "").send(&admin).status == 503
+    });
     site.replicas[0].set(Mode::Good);
-    let answer: Answer = call.join().expect("the caller ends");
+    let answer: Answer = call.join().expect("the caller thread panicked");
     assert_eq!((answer.status, answer.body), (200, replica::whole("planned")));
-    assert!(site.entries[0].wait(), "it ends well");
+    assert!(site.entries[0].wait(), "the entry must exit with status 0");
 }
