--- a/crates/sablepass-stand/tests/faults.rs
+++ b/crates/sablepass-stand/tests/faults.rs
@@ -1,8 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Promises to callers under failure, with real processes behind the
-//! fault-injecting proxy. The judge is the targets' own run logs.
+//! Guarantees to callers under failures of targets, agents, entries and connections, with real
+//! processes, partly behind a fault-injecting proxy. Answers are checked against the targets' run
+//! logs.
 
 mod common;
 
@@ -12,8 +13,8 @@
 use sablepass_stand::client::{Answer, Ask, wait_for};
 use sablepass_stand::fleet::{Fleet, Timers};
 
-/// Sends in the background.
-fn start(ask: Ask, addr: String) -> thread::JoinHandle<Answer> {
+/// Sends a request from a thread of its own.
+fn send_in_background(ask: Ask, addr: String) -> thread::JoinHandle<Answer> {
     thread::spawn(move || ask.send(&addr))
 }
 
@@ -26,18 +27,18 @@
 }
 
 #[test]
-fn verify_first_event_before_second() {
+fn verify_first_event_is_forwarded_before_the_second_exists() {
     let fleet = fleet(false);
     let addr = fleet.http(0);
-    // The engines make one token and hold: what arrives was sent before there was a second.
+    // The engines generate one token and pause, so the first event arrives before a second exists.
     fleet.targets[..2].iter().for_each(|it| it.mode("hold 1"));
     let mut arrived = false;
     let answer = chat("firstevent", 6, true).send_with(&addr, |line| {
         if line.contains("firstevent:0") {
-            let made = |it: &serde_json::Value| it["tokens"].as_u64().unwrap_or(0);
-            let made: u64 =
-                fleet.targets[..2].iter().flat_map(|it| it.runs()).map(|it| made(&it)).sum();
-            assert_eq!(made, 1);
+            let tokens = |it: &serde_json::Value| it["tokens"].as_u64().unwrap_or(0);
+            let tokens: u64 =
+                fleet.targets[..2].iter().flat_map(|it| it.runs()).map(|it| tokens(&it)).sum();
+            assert_eq!(tokens, 1);
             arrived = true;
             fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
         }
@@ -47,48 +48,49 @@
 }
 
 #[test]
-fn verify_cut_before_first_byte_moves_on() {
+fn verify_request_cut_before_the_first_byte_is_retried() {
     let fleet = fleet(true);
     fleet.targets[..2].iter().for_each(|it| it.mode("freeze"));
-    let call = start(chat("cutfirst", 5, false), fleet.http(0));
-    let hit = busy_target(&fleet);
-    fleet.targets[hit].fault("cut");
+    let call = send_in_background(chat("cutfirst", 5, false), fleet.http(0));
+    let busy = busy_target(&fleet);
+    fleet.targets[busy].fault("cut");
     fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
-    let answer = call.join().expect("the caller ends");
+    let answer = call.join().expect("the caller thread panicked");
     assert_eq!(answer.status, 200, "{answer:?}");
     check_outcomes(&fleet, &[outcome("cutfirst", false, expected("cutfirst", 5), answer)]);
     assert!(fleet.entry_metric(0, "sablepass_retries_total", "contact-lost") >= 1.0);
 }
 
 #[test]
-fn verify_cut_mid_stream_never_restarts() {
+fn verify_stream_cut_midway_is_not_restarted() {
     let fleet = fleet(true);
-    let call = start(chat("cutmid", 400, true), fleet.http(0));
-    let hit = busy_target(&fleet);
-    wait_for("some tokens", || {
-        fleet.targets[hit].runs().iter().any(|it| it["tokens"].as_u64() > Some(20))
+    let call = send_in_background(chat("cutmid", 400, true), fleet.http(0));
+    let busy = busy_target(&fleet);
+    wait_for("the target has sent some tokens", || {
+        fleet.targets[busy].runs().iter().any(|it| it["tokens"].as_u64() > Some(20))
     });
-    fleet.targets[hit].fault("cut");
-    let answer = call.join().expect("the caller ends");
+    fleet.targets[busy].fault("cut");
+    let answer = call.join().expect("the caller thread panicked");
     assert_eq!(answer.reason(), "contact-lost", "{answer:?}");
     assert!(!answer.done());
     let text = answer.text();
     assert!(expected("cutmid", 400).starts_with(&text) && !text.is_empty());
     let runs: usize = fleet.targets[..2].iter().map(|it| it.runs().len()).sum();
-    assert_eq!(runs, 1, "a broken stream was started again");
+    assert_eq!(runs, 1, "a stream that broke off was restarted");
 }
 
 #[test]
-fn verify_cut_before_end_is_not_whole() {
+fn verify_answer_cut_before_its_end_does_not_look_complete() {
     let fleet = fleet(true);
-    // How many bytes an answer takes, measured; then the same again, cut 3 bytes early.
-    let down = |it: usize| fleet.targets[it].fault("pass")["down"].as_u64().unwrap_or(0);
+    // Measures the size of an answer in bytes, then cuts an equal one 3 bytes before its end.
+    let bytes_down =
+        |target: usize| fleet.targets[target].fault("pass")["down"].as_u64().unwrap_or(0);
     let body = "x".repeat(3_000_000);
     let ask = |marker: &str| Ask::post(FARM, "/services/claims/echo", &format!("{marker}{body}"));
-    let before = down(2);
-    let whole = ask("lasta").send(&fleet.http(0));
-    assert_eq!(whole.status, 200);
-    let size = down(2) - before;
+    let before = bytes_down(2);
+    let complete = ask("lasta").send(&fleet.http(0));
+    assert_eq!(complete.status, 200);
+    let size = bytes_down(2) - before;
     fleet.targets[2].fault(&format!("cut-down {}", size - 3));
     let answer = ask("lastb").send(&fleet.http(0));
     if answer.status == 200 {
@@ -99,26 +101,26 @@
 }
 
 #[test]
-fn verify_unsafe_survives_cut() {
+fn verify_unsafe_request_is_answered_after_a_cut() {
     let fleet = fleet(true);
     fleet.targets[..2].iter().for_each(|it| it.mode("freeze"));
-    let call = start(chat("unsafecut", 5, false).only_once(""), fleet.http(0));
-    let hit = busy_target(&fleet);
-    fleet.targets[hit].fault("cut");
-    wait_for("contact is lost", || {
-        let all = fleet.entry_metric(0, "sablepass_links", "dialled");
-        all < 3.0
+    let call = send_in_background(chat("unsafecut", 5, false).only_once(""), fleet.http(0));
+    let busy = busy_target(&fleet);
+    fleet.targets[busy].fault("cut");
+    wait_for("the entry loses the connection", || {
+        let links = fleet.entry_metric(0, "sablepass_links", "dialled");
+        links < 3.0
     });
-    fleet.targets[hit].fault("pass");
+    fleet.targets[busy].fault("pass");
     fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
-    let answer = call.join().expect("the caller ends");
-    // The agent kept the answer, and the probe found it.
+    let answer = call.join().expect("the caller thread panicked");
+    // The agent kept the answer, and the entry's probe fetched it.
     assert_eq!(answer.status, 200, "{answer:?}");
     check_outcomes(&fleet, &[outcome("unsafecut", true, expected("unsafecut", 5), answer)]);
 }
 
 #[test]
-fn verify_unsafe_dispatch_cut_in_half() {
+fn verify_unsafe_dispatch_cut_midway_runs_at_most_once() {
     let fleet = fleet(true);
     let mut all = Vec::new();
     for (round, bytes) in [40, 200, 100_000].into_iter().enumerate() {
@@ -134,24 +136,25 @@
 }
 
 #[test]
-fn verify_agent_killed() {
+fn verify_safe_requests_survive_a_killed_agent() {
     let mut fleet = fleet(false);
     fleet.targets[..2].iter().for_each(|it| it.mode("freeze"));
-    let once = start(chat("killonce", 5, false).only_once(""), fleet.http(0));
+    let once = send_in_background(chat("killonce", 5, false).only_once(""), fleet.http(0));
     let first = busy_target(&fleet);
-    let safe: Vec<_> =
-        (0..6).map(|it| start(chat(&format!("killsafe{it}x"), 5, false), fleet.http(0))).collect();
-    wait_for("all are sent", || {
+    let safe: Vec<_> = (0..6)
+        .map(|it| send_in_background(chat(&format!("killsafe{it}x"), 5, false), fleet.http(0)))
+        .collect();
+    wait_for("the targets have all requests", || {
         fleet.targets[..2].iter().map(|it| it.runs().len()).sum::<usize>() >= 7
     });
     fleet.restart_agent(first);
     fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
-    let answer = once.join().expect("the caller ends");
+    let answer = once.join().expect("the caller thread panicked");
     assert_eq!((answer.reason().as_str(), answer.ran.as_str()), ("agent-restarted", "unknown"));
     let mut all = vec![outcome("killonce", true, expected("killonce", 5), answer)];
     for (index, call) in safe.into_iter().enumerate() {
         let marker = format!("killsafe{index}x");
-        let answer = call.join().expect("the caller ends");
+        let answer = call.join().expect("the caller thread panicked");
         assert_eq!(answer.status, 200, "{answer:?}");
         all.push(outcome(&marker, false, expected(&marker, 5), answer));
     }
@@ -159,22 +162,22 @@
 }
 
 #[test]
-fn verify_agent_paused_and_woken() {
-    // The entry keeps its connection to the silent agent. One that it closes with
-    // bytes unread is reset, and the dispatch that waits there is lost with it.
+fn verify_agent_resumed_after_a_short_pause_refuses_late_dispatch() {
+    // With a long silence limit the entry keeps its connection to the unresponsive agent. Closing
+    // it with unread bytes would reset it, and the dispatch waiting in the socket would be lost.
     let entry = "silence = 20000\nstop_lead = 500\nstall = 2000\nprobe = 3000".to_owned();
     let fleet = fleet_with(Timers { entry, ..Timers::default() }, false);
     fleet.targets[2].agent.pause();
-    // Sent while nobody knows of the pause yet: it waits in the agent's socket.
+    // The entry has not noticed the pause yet, so the dispatch waits in the agent's socket.
     let ask = Ask::post(FARM, "/services/claims/run", "pausedonce").only_once("");
     let answer = ask.with("x-sablepass-deadline-ms", "1500").send(&fleet.http(0));
     assert_ne!(answer.status, 200);
     assert_ne!(answer.ran, "ran", "{answer:?}");
-    let runs_then = fleet.targets[2].runs().len();
-    assert_eq!(runs_then, 0);
+    let runs_during_pause = fleet.targets[2].runs().len();
+    assert_eq!(runs_during_pause, 0);
     fleet.targets[2].agent.wake();
     fleet.settle(3, 0);
-    // It is past its deadline: the woken agent refuses it.
+    // The dispatch is past its deadline, so the resumed agent refuses it.
     wait_for("the late dispatch is refused", || {
         let admin = fleet.targets[2].agent.addr("admin");
         let late =
@@ -189,15 +192,16 @@
 }
 
 #[test]
-fn verify_agent_paused_ten_seconds() {
+fn verify_agent_resumed_after_ten_seconds_drops_old_connections() {
     let fleet = fleet(false);
-    let paused = std::time::Instant::now();
+    let paused_at = std::time::Instant::now();
     fleet.targets[2].agent.pause();
     let ask = Ask::post(FARM, "/services/claims/run", "longpause").only_once("");
     let answer = ask.with("x-sablepass-deadline-ms", "1500").send(&fleet.http(0));
     assert_ne!(answer.status, 200);
-    wait_for("the pause is long", || paused.elapsed().as_secs() >= 10);
-    // By now its connections count as silent: it drops them with what they hold.
+    wait_for("the pause has lasted 10 s", || paused_at.elapsed().as_secs() >= 10);
+    // The silence limit of its connections has passed: the resumed agent closes them and discards
+    // their unread bytes.
     fleet.targets[2].agent.wake();
     fleet.settle(3, 0);
     let again = Ask::post(FARM, "/services/claims/run", "afterpause").send(&fleet.http(0));
@@ -212,11 +216,11 @@
 }
 
 #[test]
-fn verify_target_dead() {
+fn verify_dead_engines_are_avoided() {
     let mut fleet = fleet(false);
     fleet.targets[0].server().kill();
-    for it in 0..12 {
-        let marker = format!("dead{it}x");
+    for index in 0..12 {
+        let marker = format!("dead{index}x");
         let answer = chat(&marker, 3, false).send(&fleet.http(0));
         assert_eq!(answer.text(), expected(&marker, 3), "{answer:?}");
     }
@@ -227,58 +231,61 @@
 }
 
 #[test]
-fn verify_dead_engine_costs_few_retries() {
+fn verify_dead_engine_causes_few_retries() {
     let mut fleet = fleet(false);
     fleet.targets[0].server().kill();
-    // A dead engine's target looks idle. Sent one after the other, more requests than the
-    // retry budget has to spare must all be answered by the other one.
-    for it in 0..80 {
-        let marker = format!("few{it}x");
+    // A target whose engine is dead looks idle. Of more sequential requests than the retry budget
+    // allows retries, all must be answered by the other target.
+    for index in 0..80 {
+        let marker = format!("few{index}x");
         let answer = chat(&marker, 1, false).send(&fleet.http(0));
-        assert_eq!(answer.text(), expected(&marker, 1), "{it}: {answer:?}");
+        assert_eq!(answer.text(), expected(&marker, 1), "{index}: {answer:?}");
     }
     let retries = fleet.entry_metric(0, "sablepass_retries_total", "");
-    assert!(retries <= 5.0, "{retries} retries for one dead engine");
+    assert!(retries <= 5.0, "{retries} retries because of one dead engine");
 }
 
 #[test]
-fn verify_stalled_engine_is_left() {
+fn verify_requests_leave_a_stalled_engine() {
     let mut fleet = fleet(false);
-    // The engine stops altogether while its agent lives on.
+    // The engine is suspended while its agent keeps running.
     fleet.targets[0].server().pause();
-    let early: Vec<_> =
-        (0..4).map(|it| start(chat(&format!("early{it}x"), 3, false), fleet.http(0))).collect();
-    // Requests that it holds move on when it has given no sign of life for long enough.
-    for (it, call) in early.into_iter().enumerate() {
-        let answer = call.join().expect("the caller ends");
-        assert_eq!(answer.text(), expected(&format!("early{it}x"), 3), "{answer:?}");
+    let early: Vec<_> = (0..4)
+        .map(|it| send_in_background(chat(&format!("early{it}x"), 3, false), fleet.http(0)))
+        .collect();
+    // Requests at the stalled engine are retried elsewhere once it has been unresponsive for the
+    // configured time.
+    for (index, call) in early.into_iter().enumerate() {
+        let answer = call.join().expect("the caller thread panicked");
+        assert_eq!(answer.text(), expected(&format!("early{index}x"), 3), "{answer:?}");
     }
     let admin = fleet.admin(0);
-    wait_for("it is not chosen any more", || {
+    wait_for("the stalled target is not usable", || {
         let status = sablepass_stand::client::control(&admin, "GET", "/status", "");
         let targets = status["targets"].as_array().cloned().unwrap_or_default();
         targets.iter().any(|it| it["target"] == "tatranska/t1" && it["usable"] == false)
     });
-    // New ones go elsewhere at once.
-    let begun = std::time::Instant::now();
-    for it in 0..8 {
-        let marker = format!("later{it}x");
+    // New requests go to the other target at once.
+    let started_at = std::time::Instant::now();
+    for index in 0..8 {
+        let marker = format!("later{index}x");
         let answer = chat(&marker, 3, false).send(&fleet.http(0));
         assert_eq!(answer.text(), expected(&marker, 3), "{answer:?}");
     }
-    assert!(begun.elapsed().as_secs() < 2, "new requests waited for a stalled engine");
+    assert!(started_at.elapsed().as_secs() < 2, "new requests waited for a stalled engine");
     fleet.targets[0].server().wake();
 }
 
 #[test]
-fn verify_engine_breaks_stream() {
+fn verify_stream_broken_by_the_engine_is_not_restarted() {
     let fleet = fleet(false);
-    let all = |mode: &str| fleet.targets[..2].iter().for_each(|it| it.mode(mode));
-    // Bytes that come in one read with the break are lost with it, so it waits for the caller.
-    all("hold 3");
+    let set_all = |mode: &str| fleet.targets[..2].iter().for_each(|it| it.mode(mode));
+    // Bytes read together with the end of the connection are lost, so the engine ends the
+    // connection only after the caller has the third token.
+    set_all("hold 3");
     let answer = chat("breaks", 9, true).send_with(&fleet.http(0), |line| {
         if line.contains("breaks:2") {
-            all("break 3");
+            set_all("break 3");
         }
     });
     assert_eq!(answer.reason(), "engine-broke", "{answer:?}");
@@ -288,7 +295,7 @@
 }
 
 #[test]
-fn verify_caller_gone_cancels() {
+fn verify_disconnect_of_the_caller_cancels_generation() {
     let fleet = fleet(false);
     let addr = fleet.http(0);
     let body = chat("goneaway", 100_000, true).body;
@@ -300,18 +307,18 @@
             "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {FARM}\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         )
-        .expect("written");
-        let mut some = [0; 512];
-        assert!(socket.read(&mut some).expect("the answer begins") > 0);
+        .expect("request sent");
+        let mut buffer = [0; 512];
+        assert!(socket.read(&mut buffer).expect("the answer starts") > 0);
     }
-    wait_for("the engine stops", || {
+    wait_for("an engine cancels the run", || {
         let ended = |it: &serde_json::Value| it["end"] == "cancelled" || it["end"] == "gone";
         fleet.targets[..2].iter().any(|it| it.runs().iter().any(ended))
     });
 }
 
 #[test]
-fn verify_slow_caller_is_given_up() {
+fn verify_caller_that_does_not_read_is_disconnected() {
     use std::io::Write;
     let fleet = fleet(false);
     let addr = fleet.http(0);
@@ -321,24 +328,26 @@
         "POST /services/claims/x HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {FARM}\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    socket.write_all(head.as_bytes()).expect("written");
-    socket.write_all(body.as_bytes()).expect("written");
-    // It reads nothing of the answer. A second such caller is served meanwhile.
+    socket.write_all(head.as_bytes()).expect("request sent");
+    socket.write_all(body.as_bytes()).expect("request sent");
+    // The caller reads nothing of its answer. Another caller is served meanwhile.
     let other = Ask::post(FARM, "/services/claims/y", "quick").send(&addr);
     assert_eq!(other.status, 200, "{other:?}");
-    wait_for("the answer is made", || fleet.targets[2].runs().iter().any(|it| it["path"] == "/x"));
-    wait_for("the slow caller is given up", || {
+    wait_for("the target runs the request", || {
+        fleet.targets[2].runs().iter().any(|it| it["path"] == "/x")
+    });
+    wait_for("the entry disconnects the slow caller", || {
         fleet.entry_metric(0, "sablepass_refusals_total", "caller-gone") >= 1.0
     });
     drop(socket);
 }
 
 #[test]
-fn verify_urgent_is_not_held_behind_others() {
+fn verify_urgent_request_overtakes_waiting_requests() {
     let fleet = fleet(false);
-    for it in &fleet.targets[..2] {
-        it.mode("freeze");
-        sablepass_stand::client::control(&it.base, "POST", "/control/batch", "2");
+    for target in &fleet.targets[..2] {
+        target.mode("freeze");
+        sablepass_stand::client::control(&target.base, "POST", "/control/batch", "2");
     }
     let ended = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let send = |name: String, priority: &'static str| {
@@ -346,100 +355,109 @@
         thread::spawn(move || {
             let ask = chat(&name, 20, false).with("x-sablepass-priority", priority);
             let answer = ask.send(&addr);
-            ended.lock().expect("no caller panics").push(priority);
+            ended.lock().expect("lock poisoned by a panicking caller thread").push(priority);
             answer
         })
     };
     let mut calls: Vec<_> = (0..20).map(|it| send(format!("wait{it}x"), "normal")).collect();
-    let there = || fleet.targets[..2].iter().map(|it| it.runs().len()).sum::<usize>();
-    wait_for("all wait at the engines", || there() == 20);
+    let arrived = || fleet.targets[..2].iter().map(|it| it.runs().len()).sum::<usize>();
+    wait_for("the engines have all requests", || arrived() == 20);
     calls.push(send("hurryx".to_owned(), "urgent"));
-    wait_for("the urgent one waits too", || there() == 21);
+    wait_for("an engine has the urgent request", || arrived() == 21);
     fleet.targets[..2].iter().for_each(|it| it.mode("ok"));
     for call in calls {
-        assert_eq!(call.join().expect("the caller ends").status, 200);
+        assert_eq!(call.join().expect("the caller thread panicked").status, 200);
     }
-    let order = ended.lock().expect("no caller panics").clone();
-    let place = order.iter().position(|it| *it == "urgent").expect("it ended");
-    // Two run at each engine when it comes; all others come after it.
-    assert!(place <= 8, "the urgent one ended as number {place} of 21: {order:?}");
+    let order = ended.lock().expect("lock poisoned by a panicking caller thread").clone();
+    let position = order.iter().position(|it| *it == "urgent").expect("the urgent request ended");
+    // Each engine already runs two requests when the urgent one arrives; the others start later.
+    assert!(position <= 8, "the urgent request ended at position {position} of 21: {order:?}");
 }
 
-fn second_entry(fleet: &mut Fleet) {
+fn add_second_entry(fleet: &mut Fleet) {
     fleet.add_entry("entry-2", "ba-1", "");
     fleet.settle(3, 0);
 }
 
-fn claim(marker: &str, key: &str, made: &str) -> Ask {
+fn claim(marker: &str, key: &str, issued_at: &str) -> Ask {
     let ask = Ask::post(FARM, "/services/claims/run", marker).only_once(key);
-    ask.with("x-sablepass-key-issued", made)
+    ask.with("x-sablepass-key-issued", issued_at)
 }
 
-/// A time from which keys are surely made after the owner took over.
-fn key_time() -> String {
-    let start: u64 = now_text().parse().expect("a number");
-    let made = start + 400;
-    wait_for("the key's time", || now_text().parse::<u64>().expect("a number") > made);
-    made.to_string()
+/// Returns an issue time for keys, in milliseconds since the Unix epoch, after waiting until it has
+/// passed. The time is surely later than the start of the keys' owner.
+fn key_issue_time() -> String {
+    let start: u64 = now_text().parse().expect("a number of milliseconds");
+    let issued_at = start + 400;
+    wait_for("the issue time passes", || {
+        now_text().parse::<u64>().expect("a number of milliseconds") > issued_at
+    });
+    issued_at.to_string()
 }
 
 #[test]
-fn verify_same_key_through_two_entries() {
+fn verify_same_key_through_two_entries_runs_once() {
     let mut fleet = fleet(false);
-    second_entry(&mut fleet);
-    let made = key_time();
+    add_second_entry(&mut fleet);
+    let issued_at = key_issue_time();
     for round in 0..20 {
         let marker = format!("twice{round}x");
         let key = format!("key-{round}");
-        let calls: Vec<_> =
-            (0..4).map(|it| start(claim(&marker, &key, &made), fleet.http(it % 2))).collect();
-        let answers: Vec<Answer> = calls.into_iter().map(|it| it.join().expect("ends")).collect();
+        let calls: Vec<_> = (0..4)
+            .map(|it| send_in_background(claim(&marker, &key, &issued_at), fleet.http(it % 2)))
+            .collect();
+        let answers: Vec<Answer> =
+            calls.into_iter().map(|it| it.join().expect("the caller thread panicked")).collect();
         let runs = fleet.targets[2].runs();
         let runs = runs.iter().filter(|it| it.to_string().contains(&marker)).count();
         assert_eq!(runs, 1, "{answers:?}");
         assert!(answers.iter().all(|it| it.ran != "not-run"), "{answers:?}");
         assert!(answers.iter().any(|it| it.status == 200), "{answers:?}");
     }
-    let again = claim("twice0x", "key-0", &made).send(&fleet.http(1));
+    let again = claim("twice0x", "key-0", &issued_at).send(&fleet.http(1));
     assert!(again.replayed, "{again:?}");
-    let other = claim("other body", "key-0", &made).send(&fleet.http(0));
-    assert_eq!((other.status, other.reason().as_str()), (422, "key-reused"));
+    let reused = claim("other body", "key-0", &issued_at).send(&fleet.http(0));
+    assert_eq!((reused.status, reused.reason().as_str()), (422, "key-reused"));
 }
 
 #[test]
-fn verify_same_key_after_owner_restarted() {
+fn verify_same_key_after_a_restart_of_its_owner_is_uncertain() {
     let mut fleet = fleet(false);
-    let made = key_time();
-    let first = claim("restartonce", "key-r", &made).send(&fleet.http(0));
+    let issued_at = key_issue_time();
+    let first = claim("restartonce", "key-r", &issued_at).send(&fleet.http(0));
     assert_eq!(first.status, 200, "{first:?}");
     fleet.restart_agent(2);
     fleet.settle(3, 0);
-    let again = claim("restartonce", "key-r", &made).send(&fleet.http(0));
+    let again = claim("restartonce", "key-r", &issued_at).send(&fleet.http(0));
     assert_eq!((again.reason().as_str(), again.ran.as_str()), ("key-uncertain", "unknown"));
     assert_eq!(fleet.targets[2].runs().len(), 1);
-    // A key made after the restart runs.
-    let fresh = claim("restartfresh", "key-f", &key_time()).send(&fleet.http(0));
+    // A request with a key issued after the restart runs.
+    let fresh = claim("restartfresh", "key-f", &key_issue_time()).send(&fleet.http(0));
     assert_eq!(fresh.status, 200, "{fresh:?}");
 }
 
 #[test]
-fn verify_entry_killed() {
+fn verify_answer_is_available_by_key_after_an_entry_was_killed() {
     let mut fleet = fleet(false);
-    second_entry(&mut fleet);
-    let made = key_time();
+    add_second_entry(&mut fleet);
+    let issued_at = key_issue_time();
     fleet.targets[2].server().pause();
-    let call = start(claim("entrykill", "key-e", &made), fleet.http(0));
-    wait_for("it is sent", || {
+    let call = send_in_background(claim("entrykill", "key-e", &issued_at), fleet.http(0));
+    wait_for("the agent has the request", || {
         let admin = fleet.targets[2].agent.addr("admin");
         sablepass_stand::client::metric(&admin, "sablepass_requests_total", "") >= 1.0
     });
     fleet.entries[0].1.kill();
-    assert_eq!(call.join().expect("ends").status, 0, "the connection breaks");
+    assert_eq!(
+        call.join().expect("the caller thread panicked").status,
+        0,
+        "the caller's connection must break"
+    );
     fleet.targets[2].server().wake();
-    // The same key through the other entry gets the first run's answer.
+    // The same key through the other entry is answered by the first run.
     let mut last = Answer::default();
-    wait_for("the answer", || {
-        last = claim("entrykill", "key-e", &made).send(&fleet.http(1));
+    wait_for("the other entry answers", || {
+        last = claim("entrykill", "key-e", &issued_at).send(&fleet.http(1));
         last.status == 200
     });
     assert!(last.replayed, "{last:?}");
@@ -447,17 +465,17 @@
 }
 
 #[test]
-fn verify_two_faults_at_once() {
+fn verify_guarantees_hold_during_simultaneous_faults() {
     let mut fleet = fleet(true);
-    second_entry(&mut fleet);
+    add_second_entry(&mut fleet);
     fleet.platform_mode("down");
     let calls: Vec<_> = (0..30)
-        .map(|it| {
-            let marker = format!("both{it}x");
-            let once = it % 2 == 0;
-            let ask = chat(&marker, 30, it % 3 == 0);
+        .map(|index| {
+            let marker = format!("both{index}x");
+            let once = index % 2 == 0;
+            let ask = chat(&marker, 30, index % 3 == 0);
             let ask = if once { ask.only_once("") } else { ask };
-            (marker, once, start(ask, fleet.http(it % 2)))
+            (marker, once, send_in_background(ask, fleet.http(index % 2)))
         })
         .collect();
     busy_target(&fleet);
@@ -466,7 +484,7 @@
     fleet.targets[0].fault("pass");
     let mut all = Vec::new();
     for (marker, once, call) in calls {
-        let answer = call.join().expect("the caller ends");
+        let answer = call.join().expect("the caller thread panicked");
         all.push(outcome(&marker, once, expected(&marker, 30), answer));
     }
     check_outcomes(&fleet, &all);
