--- a/crates/sablepass-stand/tests/ranks.rs
+++ b/crates/sablepass-stand/tests/ranks.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Expert maps on the users' platform: real agents beside the ranks of a
-//! stand-in group. The judge is the group: no step begins on two maps.
+//! Expert maps on the users' platform, with real agents beside the ranks of a stand-in group. The
+//! group records its steps; the tests check that none started with two maps.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -15,23 +15,25 @@
 /// Ranks of the group.
 const RANKS: usize = 4;
 
+/// A group with an agent at each rank, and a site with one entry.
 struct Fleet {
     site: Site,
     group: Group,
     agents: Vec<Process>,
+    /// Port of every agent, each at its rank's loopback address.
     port: u16,
 }
 
-/// A group with an agent beside each rank. The list is there before the agents
-/// and the configuration comes after them, or the other way round.
+/// Starts a group with an agent beside each rank. With `list_first`, the instance list is written
+/// before the agents start and the configuration afterwards; otherwise the other way round.
 fn fleet(list_first: bool) -> Fleet {
     let site = Site::open(0);
     let group = Group::spawn(RANKS);
     let port = ranks::free_port(RANKS);
     let mut fleet = Fleet { site, group, agents: Vec::new(), port };
-    let list = |it: &Fleet| {
+    let list = |fleet: &Fleet| {
         for rank in 0..RANKS {
-            it.site.store.put(&format!("servers/i-{rank}"), &it.group.entry(rank));
+            fleet.site.store.put(&format!("servers/i-{rank}"), &fleet.group.entry(rank));
         }
     };
     let configure = |it: &Fleet| {
@@ -47,14 +49,14 @@
         fleet.start_agent(rank);
     }
     if list_first {
-        for it in &fleet.agents {
-            wait_for("an agent has the list", || {
-                let status = client::control(&it.addr("admin"), "GET", "/status", "");
+        for agent in &fleet.agents {
+            wait_for("an agent has the instance list", || {
+                let status = client::control(&agent.addr("admin"), "GET", "/status", "");
                 status["instances"].as_u64() > Some(0)
             });
         }
     } else {
-        // Agents are told by entries, which find them by the list.
+        // Agents get the configuration from the entries, which find them by the instance list.
         wait_for("the entry has the configuration", || {
             fleet.site.status(0)["revision"].as_u64() > Some(1)
         });
@@ -68,9 +70,10 @@
 }
 
 impl Fleet {
+    /// Starts or restarts the agent of a rank.
     fn start_agent(&mut self, rank: usize) {
-        let at = SocketAddr::new(ranks::loopback(rank), self.port);
-        let agent = self.site.add_agent(at, self.group.addrs[rank]);
+        let addr = SocketAddr::new(ranks::loopback(rank), self.port);
+        let agent = self.site.add_agent(addr, self.group.addrs[rank]);
         if rank < self.agents.len() {
             self.agents[rank] = agent;
         } else {
@@ -78,14 +81,15 @@
         }
     }
 
-    /// Waits for a map that spreads an expert over most ranks.
+    /// Waits until all ranks have the same map and it places an expert at three ranks or more.
     fn wait_for_spread(&self, expert: u64) {
         let what = format!("expert {expert} is spread");
         wait_for(&what, || self.group.holders(expert) >= 3 && self.group.version().is_some());
     }
 
-    fn check(&self) {
-        assert_eq!(self.group.broken(), Vec::<u64>::new(), "steps began on two maps");
+    /// Asserts that no step started with two maps.
+    fn check_steps(&self) {
+        assert_eq!(self.group.broken(), Vec::<u64>::new(), "steps started with two maps");
     }
 }
 
@@ -98,7 +102,7 @@
         fleet.group.shift(5);
         fleet.wait_for_spread(5);
         assert!(fleet.group.version() > before);
-        fleet.check();
+        fleet.check_steps();
     }
 }
 
@@ -108,19 +112,19 @@
     for round in 0..6 {
         fleet.group.shift(round % 8);
         let rank = (round as usize) % RANKS;
-        let busy = |it: &Fleet| it.group.progress().1;
-        wait_for("a switch is under way or done", || {
-            busy(&fleet) || fleet.group.holders(round % 8) >= 3
+        let switching = |it: &Fleet| it.group.progress().1;
+        wait_for("a switch is in progress or done", || {
+            switching(&fleet) || fleet.group.holders(round % 8) >= 3
         });
         fleet.agents[rank].kill();
         fleet.start_agent(rank);
         let (step, _) = fleet.group.progress();
-        wait_for("the group goes on", || fleet.group.progress().0 > step + 5);
-        fleet.check();
+        wait_for("the group runs further steps", || fleet.group.progress().0 > step + 5);
+        fleet.check_steps();
     }
     fleet.group.shift(7);
     fleet.wait_for_spread(7);
-    fleet.check();
+    fleet.check_steps();
 }
 
 #[test]
@@ -131,152 +135,163 @@
         fleet.group.shift(round);
         fleet.agents[round as usize].pause();
         let (step, _) = fleet.group.progress();
-        // The group makes its steps, or stands at one that is held.
-        wait_for("steps or a hold", || {
+        // The group runs steps, or is stalled because a rank holds the next one.
+        wait_for("the group runs further steps or a step is held", || {
             let (now, held) = fleet.group.progress();
             held || now > step + 20
         });
         fleet.agents[round as usize].wake();
         fleet.wait_for_spread(round);
-        fleet.check();
+        fleet.check_steps();
     }
 }
 
 #[test]
-fn verify_rank_that_takes_no_orders_delays_only() {
+fn verify_rank_that_ignores_orders_only_delays_switches() {
     let fleet = fleet(true);
     fleet.wait_for_spread(0);
     fleet.group.deafen(Some(2));
     fleet.group.shift(4);
     let (step, _) = fleet.group.progress();
-    wait_for("the group goes on", || fleet.group.progress().0 > step + 50);
-    fleet.check();
+    wait_for("the group runs further steps", || fleet.group.progress().0 > step + 50);
+    fleet.check_steps();
     fleet.group.deafen(None);
     fleet.wait_for_spread(4);
-    fleet.check();
+    fleet.check_steps();
 }
 
 #[test]
-fn verify_work_leaves_a_slow_rank() {
+fn verify_experts_move_away_from_a_slow_rank() {
     let fleet = fleet(true);
     fleet.wait_for_spread(0);
-    let before = fleet.group.held_by(1);
+    let held_before = fleet.group.held_by(1);
     fleet.group.slow(1, 8.0);
     wait_for("the slow rank holds fewer experts", || {
-        fleet.group.held_by(1) < before && fleet.group.version().is_some()
+        fleet.group.held_by(1) < held_before && fleet.group.version().is_some()
     });
-    fleet.check();
+    fleet.check_steps();
 }
 
-/// Entries of the fleet that has no seeds.
+/// Number of entries in the test without seeds.
 const ENTRIES: usize = 5;
 
-/// Entries share the places of a group and the budget of retries. They find each
-/// other by seeds only; where these are gone, the agents know how many there are.
+/// Entries share a group's capacity and the retry budget, so each must know their number. They
+/// discover each other by seeds only; without seeds, they get the number from the agents.
 #[test]
-fn verify_entries_count_each_other_by_the_agents_word() {
+fn verify_entries_without_seeds_get_their_number_from_agents() {
     let mut fleet = fleet(true);
     let port = format!("agent_port = {}", fleet.port);
     for _ in 1..ENTRIES {
         fleet.site.add_entry_at(&port, 0);
     }
-    let counts = |it: &Fleet, entries: std::ops::Range<usize>, all: usize| {
+    let all_report = |fleet: &Fleet, entries: std::ops::Range<usize>, count: usize| {
         entries
             .into_iter()
-            .all(|entry| it.site.status(entry)["entries"].as_u64() == Some(all as u64))
+            .all(|entry| fleet.site.status(entry)["entries"].as_u64() == Some(count as u64))
     };
-    wait_for("all entries are counted", || counts(&fleet, 0..ENTRIES, ENTRIES));
-    // All are killed at once and start anew.
-    for it in 0..ENTRIES {
-        fleet.site.entries[it].kill();
+    wait_for("every entry counts all entries", || all_report(&fleet, 0..ENTRIES, ENTRIES));
+    // All entries are killed at once and replaced by new ones.
+    for entry in 0..ENTRIES {
+        fleet.site.entries[entry].kill();
     }
     for _ in 0..ENTRIES {
         fleet.site.add_entry_at(&port, 0);
     }
-    wait_for("all are counted again", || counts(&fleet, ENTRIES..2 * ENTRIES, ENTRIES));
+    wait_for("every new entry counts the new entries", || {
+        all_report(&fleet, ENTRIES..2 * ENTRIES, ENTRIES)
+    });
     fleet.site.entries[ENTRIES].kill();
-    wait_for("the one that is gone is not", || {
-        counts(&fleet, ENTRIES + 1..2 * ENTRIES, ENTRIES - 1)
+    wait_for("the killed entry is no longer counted", || {
+        all_report(&fleet, ENTRIES + 1..2 * ENTRIES, ENTRIES - 1)
     });
 }
 
-/// Routes of a large configuration, and how often it is published.
+/// Number of routes added to the large configuration.
 const ROUTES: usize = 1_000;
-const STORM: u64 = 5;
-/// Bytes of a configuration that may reach an agent; one of these is hundreds
-/// of thousands.
-const SPARED: f64 = 10_000.0;
+/// Number of versions published of the large configuration.
+const VERSIONS: u64 = 5;
+/// Upper limit of configuration bytes that reach an agent. A single large configuration has
+/// hundreds of thousands.
+const MAX_AGENT_BYTES: f64 = 10_000.0;
 
 #[test]
-fn verify_large_configurations_spare_the_agents() {
+fn verify_large_configurations_are_not_sent_to_agents() {
     let fleet = fleet(true);
     fleet.wait_for_spread(0);
     let mut revision = 0;
-    for version in 0..STORM {
-        let mut it = Group::configuration(3 + version);
-        let routes = it["routes"].as_array_mut().expect("routes");
-        let model = routes[0].clone();
+    for version in 0..VERSIONS {
+        let mut configuration = Group::configuration(3 + version);
+        let routes = configuration["routes"].as_array_mut().expect("routes");
+        let template = routes[0].clone();
         routes.extend((0..ROUTES).map(|number| {
-            let mut route = model.clone();
+            let mut route = template.clone();
             route["name"] = format!("route-{number}").into();
             route["pathPrefix"] = format!("/route-{number}/").into();
             route
         }));
-        revision = fleet.site.configure(&it);
+        revision = fleet.site.configure(&configuration);
     }
-    wait_for("the last one is in force", || {
+    wait_for("the last configuration is in force", || {
         fleet.site.status(0)["revision"].as_u64() >= Some(revision)
     });
     fleet.group.shift(5);
     fleet.wait_for_spread(5);
-    for it in &fleet.agents {
+    for agent in &fleet.agents {
         let bytes = |kind: &str| {
             let label = format!("direction=\"in\",kind=\"{kind}\"");
-            client::metric(&it.addr("admin"), "sablepass_link_bytes_total", &label)
+            client::metric(&agent.addr("admin"), "sablepass_link_bytes_total", &label)
         };
         let (deltas, bounds) = (bytes("delta"), bytes("bounds"));
-        assert!(bounds > 0.0, "an agent is told what it needs");
-        assert!(deltas + bounds < SPARED, "{deltas} and {bounds} bytes reached an agent");
+        assert!(bounds > 0.0, "an agent must receive the bounds of maps");
+        assert!(
+            deltas + bounds < MAX_AGENT_BYTES,
+            "an agent received {deltas} bytes of deltas and {bounds} bytes of bounds"
+        );
     }
-    fleet.check();
+    fleet.check_steps();
 }
 
-/// Configurations of a store that was restored from a copy have lower revisions than those
-/// that agents were told before.
+/// After a restore of the store from a backup, configurations have lower revisions than those that
+/// agents received before. Agents must accept them, since the store's era is newer.
 #[test]
-fn verify_agents_are_told_bounds_of_a_restored_store() {
+fn verify_agents_accept_map_bounds_of_a_restored_store() {
     let fleet = fleet(true);
-    let copy = fleet.site.store.copy();
+    let backup = fleet.site.store.copy();
     for version in 3..6 {
         fleet.site.configure(&Group::configuration(version));
     }
-    wait_for("the last one is in force", || {
+    wait_for("the last configuration is in force", || {
         fleet.site.status(0)["documents"][0]["version"].as_u64() == Some(5)
     });
-    fleet.site.store.restore(&copy, 2);
+    fleet.site.store.restore(&backup, 2);
     let mut next = Group::configuration(6);
     next["services"][0]["engine"]["expert_mb"] = 20.0.into();
     fleet.site.configure(&next);
-    for it in &fleet.agents {
-        let told = |line: &Value| line["event"] == "bounds of maps" && line["era"] == 2;
-        wait_for("an agent is told", || it.log().iter().any(told));
+    for agent in &fleet.agents {
+        let received = |line: &Value| line["event"] == "bounds of maps" && line["era"] == 2;
+        wait_for("an agent logs the bounds of the new era", || agent.log().iter().any(received));
     }
     fleet.group.shift(5);
     fleet.wait_for_spread(5);
-    fleet.check();
+    fleet.check_steps();
 }
 
-/// An agent that is started again at its port must find it free. Seen: it ended before it was
-/// ready, while others asked for any port at its address.
+/// A restarted agent must find its port free. If the port were in the range from which the system
+/// assigns ports, another process that binds any free port at the agent's address could take it,
+/// and the agent would exit before it is ready.
 #[test]
-fn verify_ports_of_agents_are_given_to_nobody_else() {
+fn verify_ports_of_agents_are_not_assigned_to_other_sockets() {
     let port = ranks::free_port(RANKS);
     let address = ranks::loopback(0);
-    let others: Vec<TcpListener> =
+    let listeners: Vec<TcpListener> =
         (0..500).map(|_| TcpListener::bind((address, 0)).expect("a port is free")).collect();
-    let taken = |it: &TcpListener| it.local_addr().expect("it has an address").port() == port;
-    assert!(!others.iter().any(taken), "port {port} was given to another");
+    let taken = |it: &TcpListener| it.local_addr().expect("bound address").port() == port;
+    assert!(!listeners.iter().any(taken), "port {port} was assigned to another socket");
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
-    let first = range.ok().and_then(|it| it.split_whitespace().next()?.parse::<u16>().ok());
-    assert!(first.is_none_or(|first| port < first), "port {port} may be given to any");
+    let first_ephemeral =
+        range.ok().and_then(|it| it.split_whitespace().next()?.parse::<u16>().ok());
+    assert!(
+        first_ephemeral.is_none_or(|first| port < first),
+        "port {port} is in the ephemeral range"
+    );
 }
