--- a/crates/sablepass-stand/tests/path.rs
+++ b/crates/sablepass-stand/tests/path.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The whole path through real processes, without faults.
+//! Requests through entry, agent and target as real processes, without faults.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use sablepass_stand::client::Ask;
 
 #[test]
-fn verify_whole_answer() {
+fn verify_complete_answer() {
     let fleet = fleet(false);
     let answer = Ask::chat(FARM, "triage", "spruce", 5, false).send(&fleet.http(0));
     assert_eq!(answer.status, 200, "{answer:?}");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn verify_partners_apart() {
+fn verify_partners_cannot_use_each_others_models_without_a_grant() {
     let fleet = fleet(false);
     let refused = Ask::chat(BAKER, "tatranska/triage", "rye", 4, false).send(&fleet.http(0));
     assert_eq!((refused.status, refused.ran.as_str()), (403, "not-run"), "{refused:?}");
