--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -15,9 +15,9 @@
 use sablepass_stand::keys::{Backup, Mode, Store};
 use sablepass_stand::replica::Replica;
 
-use crate::common::running::{DRAINS, ENTRIES, Running, SECOND, SEEDS, Way};
+use crate::common::running::{DRAIN_LIMIT_MS, ENTRIES, RESTORED_ERA, Running, SEEDS, Way};
 
-const WAYS: [Way; 3] = [Way::Draining, Way::Removed, Way::Told];
+const WAYS: [Way; 3] = [Way::Draining, Way::Removed, Way::Announced];
 const MOMENTS: [Moment; 4] = [Moment::Before, Moment::During, Moment::After, Moment::Later];
 /// Targets that do not leave.
 const LIVE: usize = 3;
@@ -49,11 +49,11 @@
 
     fn end(self, store: &Store, copy: &Backup) {
         if matches!(self, Self::Restored | Self::RestoredTwice) {
-            store.restore(copy, SECOND);
+            store.restore(copy, RESTORED_ERA);
         }
         if self == Self::RestoredTwice {
             thread::sleep(Duration::from_millis(500));
-            store.restore(copy, SECOND + 1);
+            store.restore(copy, RESTORED_ERA + 1);
         }
         store.set(Mode::Up);
     }
@@ -108,15 +108,15 @@
         let entry: usize = entry.parse().expect("a number");
         let since = match (left.way, left.moment) {
             // Only who was told is bound.
-            (Way::Told, _) if arrival.leaving_since.is_some() => {
+            (Way::Announced, _) if arrival.leaving_since.is_some() => {
                 *told.entry(entry).or_insert(arrival.at)
             }
-            (Way::Told, _) => continue,
+            (Way::Announced, _) => continue,
             (_, Moment::Before | Moment::Later) => left.at,
-            (_, Moment::During | Moment::After) => ended + SETTLED - DRAINS,
+            (_, Moment::During | Moment::After) => ended + SETTLED - DRAIN_LIMIT_MS,
         };
         let knows = if entry == fresh.0 { fresh.1 + STARTED } else { 0 };
-        if arrival.at > (since + DRAINS).max(knows) {
+        if arrival.at > (since + DRAIN_LIMIT_MS).max(knows) {
             *late.entry(entry).or_default() += 1;
         }
     }
@@ -134,7 +134,7 @@
     trouble.begin(&store);
     running.site.entries[ENTRIES - 1].kill();
     thread::sleep(Duration::from_millis(500));
-    let ways = if trouble.takes_lines() { &WAYS[..] } else { &[Way::Told] };
+    let ways = if trouble.takes_lines() { &WAYS[..] } else { &[Way::Announced] };
     left.extend(leave(&running, &mut unused, Moment::During, ways));
     thread::sleep(Duration::from_millis(1_500));
     trouble.end(&store, &copy);
@@ -153,7 +153,7 @@
         (!late.is_empty()).then(|| format!("{:?} {:?}: {late:?}", it.way, it.moment))
     };
     let wrong: Vec<String> = left.iter().filter_map(wrong).collect();
-    let used = |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAINS > over);
+    let used = |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAIN_LIMIT_MS > over);
     let used = live.iter().filter(used).count();
     running.end();
     assert!(wrong.is_empty(), "{trouble:?}: {wrong:#?}");
