--- a/crates/sablepass-stand/tests/draining.rs
+++ b/crates/sablepass-stand/tests/draining.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Targets leave while something else goes wrong. Entries send them nothing more, within
-//! the time that the users' platform allows.
+//! Targets leave during another fault, such as a paused entry or a restored store. Entries
+//! must stop sending them requests within the time that the users' platform allows.
 
 mod common;
 
@@ -22,38 +22,40 @@
 
 use crate::common::running::{DRAINS, ENTRIES, Running, SECOND, SEEDS, Way, late};
 
-/// Entries that read the list of targets; the others learn from them.
+/// Number of entries that read the instance list from the store; the others receive it from
+/// them.
 const READERS: usize = 2;
 
-fn none() -> HashMap<usize, usize> {
+fn no_late_requests() -> HashMap<usize, usize> {
     HashMap::new()
 }
 
-/// Has an entry send requests until a target's answer has said that it leaves.
-fn tell(site: &Site, entry: usize, leaving: &Replica) {
+/// Sends requests through an entry until an answer of the target has announced that it leaves.
+fn announce_leaving(site: &Site, entry: usize, leaving: &Replica) {
     leaving.leave();
-    let told = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
-    wait_for("it has told", || {
+    let announced = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
+    wait_for("an answer of the target announces that it leaves", || {
         ask("GET", "/safe/x", &format!("{entry}-told"), "").send(&site.http(entry));
-        told()
+        announced()
     });
 }
 
 #[test]
-fn verify_a_target_that_leaves_gets_nothing_more() {
+fn verify_a_leaving_target_gets_no_more_requests() {
     for way in [Way::Draining, Way::Removed] {
         let running = Running::start(3);
         let leaving = running.site.replicas[0].clone();
-        let left = running.leave(&leaving, way);
+        let left_at = running.leave(&leaving, way);
         thread::sleep(Duration::from_secs(4));
-        assert_eq!(late(&leaving, left, (0, 0)), none(), "{way:?}");
+        assert_eq!(late(&leaving, left_at, (0, 0)), no_late_requests(), "{way:?}");
         running.end();
     }
 }
 
-/// The others learn of it without those that read the list.
+/// The entries that read the instance list are paused; the others must learn of the leaving
+/// target without them.
 #[test]
-fn verify_a_target_that_leaves_as_the_readers_stand_still_gets_nothing_more() {
+fn verify_a_leaving_target_gets_no_more_requests_while_list_readers_are_paused() {
     let names: Vec<String> = (1..=ENTRIES).map(|it| format!("entry-{it}")).collect();
     let ranked = rendezvous::rank("", names.iter().map(String::as_str));
     let number = |name: &str| names.iter().position(|it| it == name).expect("an entry");
@@ -62,88 +64,88 @@
         let running = Running::start(3);
         let leaving = running.site.replicas[0].clone();
         readers.iter().for_each(|it| running.site.entries[*it].pause());
-        let left = running.leave(&leaving, way);
+        let left_at = running.leave(&leaving, way);
         thread::sleep(Duration::from_secs(4));
-        let late = late(&leaving, left, (0, 0));
+        let late = late(&leaving, left_at, (0, 0));
         readers.iter().for_each(|it| running.site.entries[*it].wake());
-        assert_eq!(late, none(), "{way:?}");
+        assert_eq!(late, no_late_requests(), "{way:?}");
         running.end();
     }
 }
 
-/// The store's copy lists a target that had left, and an entry that starts has seen nothing
-/// else.
+/// The restored backup of the store lists a target that has left, and an entry that starts
+/// afterwards has read nothing but this backup.
 #[test]
-fn verify_an_entry_that_starts_beside_a_restore_uses_nothing_that_left() {
+fn verify_an_entry_started_after_a_restore_uses_no_target_that_left() {
     for way in [Way::Draining, Way::Removed] {
         let mut running = Running::start(3);
-        let copy = running.site.store.copy();
+        let backup = running.site.store.copy();
         let leaving = running.site.replicas[0].clone();
-        let left = running.leave(&leaving, way);
+        let left_at = running.leave(&leaving, way);
         thread::sleep(Duration::from_millis(1_500));
-        running.site.store.restore(&copy, SECOND);
+        running.site.store.restore(&backup, SECOND);
         let fresh = running.site.add_entry_at("", SEEDS);
-        let started = clock::now();
+        let started_at = clock::now();
         let status = || running.site.status(fresh)["revision"].as_u64();
-        wait_for("it has a configuration", || status() > Some(0));
+        wait_for("the new entry has a configuration", || status() > Some(0));
         running.call(fresh);
         thread::sleep(Duration::from_secs(4));
-        assert_eq!(late(&leaving, left, (fresh, started)), none(), "{way:?}");
+        assert_eq!(late(&leaving, left_at, (fresh, started_at)), no_late_requests(), "{way:?}");
         running.end();
     }
 }
 
-/// The same for an entry that stood still while the target left: it neither uses the target
-/// nor has the others use it again.
+/// An entry that was paused while the target left reads the restored backup when it resumes.
+/// It must neither use the target nor cause the other entries to use it again.
 #[test]
-fn verify_an_entry_that_wakes_beside_a_restore_brings_back_nothing_that_left() {
+fn verify_an_entry_resumed_after_a_restore_brings_back_no_target_that_left() {
     for way in [Way::Draining, Way::Removed] {
         let running = Running::start(3);
-        let copy = running.site.store.copy();
+        let backup = running.site.store.copy();
         let leaving = running.site.replicas[0].clone();
-        let sleeper = ENTRIES - 1;
-        running.site.entries[sleeper].pause();
-        let left = running.leave(&leaving, way);
+        let paused = ENTRIES - 1;
+        running.site.entries[paused].pause();
+        let left_at = running.leave(&leaving, way);
         thread::sleep(Duration::from_millis(1_500));
-        running.site.store.restore(&copy, SECOND);
+        running.site.store.restore(&backup, SECOND);
         thread::sleep(Duration::from_millis(700));
-        running.site.entries[sleeper].wake();
-        let woke = clock::now();
+        running.site.entries[paused].wake();
+        let resumed_at = clock::now();
         thread::sleep(Duration::from_secs(4));
-        assert_eq!(late(&leaving, left, (sleeper, woke)), none(), "{way:?}");
+        assert_eq!(late(&leaving, left_at, (paused, resumed_at)), no_late_requests(), "{way:?}");
         running.end();
     }
 }
 
-/// A target is missing since before the restore, and another one, which the copy lacks, since
-/// then.
+/// One target has left shortly before the restore, and another one is missing because the
+/// backup lacks it. The restore must not extend the time for which the first one is used.
 #[test]
-fn verify_a_restore_gives_no_more_time_to_what_had_left_before() {
+fn verify_a_restore_does_not_extend_the_use_of_a_target_that_left_before() {
     let running = Running::start(4);
     let [leaving, lost] = [0, 1].map(|it| running.site.replicas[it].clone());
     running.leave(&lost, Way::Removed);
-    let copy = running.site.store.copy();
+    let backup = running.site.store.copy();
     running.site.list(&lost, "ready");
     thread::sleep(Duration::from_secs(1));
-    let left = running.leave(&leaving, Way::Removed);
+    let left_at = running.leave(&leaving, Way::Removed);
     thread::sleep(Duration::from_millis(700));
-    running.site.store.restore(&copy, SECOND);
+    running.site.store.restore(&backup, SECOND);
     thread::sleep(Duration::from_secs(4));
-    assert_eq!(late(&leaving, left, (0, 0)), none());
+    assert_eq!(late(&leaving, left_at, (0, 0)), no_late_requests());
     running.end();
 }
 
-/// A line that lacks the target's start, as another writer may leave one, tells of no other
-/// life of the target.
+/// A line without the target's start time, as another writer may leave one, is no sign of a
+/// new incarnation, and must not cancel the target's announcement that it leaves.
 #[test]
-fn verify_a_line_without_a_start_takes_no_word_back() {
+fn verify_a_line_without_a_start_time_does_not_cancel_an_announcement() {
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     site.add_entry("");
     site.settle(2);
     let leaving = site.replicas[0].clone();
-    tell(&site, 0, &leaving);
-    let told = clock::now();
+    announce_leaving(&site, 0, &leaving);
+    let announced_at = clock::now();
     thread::sleep(Duration::from_millis(DRAINS));
     let mut line: serde_json::Value = serde_json::from_str(&leaving.entry("ready")).expect("JSON");
     line.as_object_mut().expect("an object").remove("born");
@@ -151,32 +153,33 @@
     thread::sleep(Duration::from_secs(1));
     site.list(&leaving, "ready");
     thread::sleep(Duration::from_secs(1));
-    assert_eq!(late_within_a_second(&site, &leaving, told), none());
+    assert_eq!(late_within_a_second(&site, &leaving, announced_at), no_late_requests());
 }
 
-/// Entries that are no seeds are connected to the seeds only.
+/// Entries that are not seeds are connected to the seeds only, which must forward the notice.
 #[test]
-fn verify_all_entries_are_told_of_a_target_that_leaves() {
+fn verify_all_entries_are_notified_of_a_leaving_target() {
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     for _ in 0..ENTRIES {
         site.add_entry_at("", SEEDS);
     }
     site.settle(2);
-    wait_for("all know of each other", || {
+    wait_for("all entries know each other", || {
         (0..ENTRIES).all(|it| site.status(it)["entries"].as_u64() == Some(ENTRIES as u64))
     });
-    tell(&site, ENTRIES - 1, &site.replicas[0]);
+    announce_leaving(&site, ENTRIES - 1, &site.replicas[0]);
     thread::sleep(Duration::from_secs(1));
-    let knows = |entry: &usize| {
+    let is_notified = |entry: &usize| {
         metric(&site.entries[*entry].addr("admin"), "sablepass_targets_left_total", "") == 1.0
     };
-    let unaware: Vec<usize> = (0..ENTRIES).filter(|it| !knows(it)).collect();
-    assert!(unaware.is_empty(), "entries {unaware:?} were not told");
+    let unaware: Vec<usize> = (0..ENTRIES).filter(|it| !is_notified(it)).collect();
+    assert!(unaware.is_empty(), "entries {unaware:?} were not notified");
 }
 
-/// A site of which the list names an earlier life of its first target, at the same address.
-fn site_with_an_earlier_life() -> (Site, Replica) {
+/// A site whose instance list names an earlier incarnation of its first target, at the same
+/// address; also returns the present incarnation.
+fn site_listing_an_earlier_incarnation() -> (Site, Replica) {
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     let mut leaving = site.replicas[0].clone();
@@ -189,56 +192,61 @@
     (site, leaving)
 }
 
-/// Requests that reach a target within a second, later than it may get any.
-fn late_within_a_second(site: &Site, leaving: &Replica, told: u64) -> HashMap<usize, usize> {
+/// Sends requests for a second, and counts those that reached the target after its drain time,
+/// by the entry that sent them.
+fn late_within_a_second(
+    site: &Site,
+    leaving: &Replica,
+    announced_at: u64,
+) -> HashMap<usize, usize> {
     let until = Instant::now() + Duration::from_secs(1);
     while Instant::now() < until {
         ask("GET", "/safe/x", "0-after", "").send(&site.http(0));
     }
-    late(leaving, told, (0, 0))
+    late(leaving, announced_at, (0, 0))
 }
 
-/// The copy lists the life that a target had before, and is looked at again seconds later,
-/// when the line of another target changes.
+/// The restored backup lists an earlier incarnation of a target that has announced that it
+/// leaves. The list is processed again seconds later, when the line of another target changes.
 #[test]
-fn verify_a_copy_that_lists_an_earlier_life_takes_no_word_back() {
-    let (mut site, leaving) = site_with_an_earlier_life();
-    let copy = site.store.copy();
+fn verify_a_backup_with_an_earlier_incarnation_does_not_cancel_an_announcement() {
+    let (mut site, leaving) = site_listing_an_earlier_incarnation();
+    let backup = site.store.copy();
     site.list(&leaving, "ready");
-    let known = || site.entries[0].log().iter().any(|it| it["event"] == "target restarted");
-    wait_for("its present life is known", known);
-    tell(&site, 0, &leaving);
-    let told = clock::now();
-    site.store.restore(&copy, SECOND);
+    let restart_seen = || site.entries[0].log().iter().any(|it| it["event"] == "target restarted");
+    wait_for("the entry knows the present incarnation", restart_seen);
+    announce_leaving(&site, 0, &leaving);
+    let announced_at = clock::now();
+    site.store.restore(&backup, SECOND);
     thread::sleep(Duration::from_secs(4));
     site.add_replica("orders");
     thread::sleep(Duration::from_secs(1));
-    assert_eq!(late_within_a_second(&site, &leaving, told), none());
+    assert_eq!(late_within_a_second(&site, &leaving, announced_at), no_late_requests());
 }
 
-/// A target says that it leaves before the list names its present life.
+/// A target announces that it leaves before the instance list names its present incarnation.
 #[test]
-fn verify_a_list_that_learns_of_a_life_late_takes_no_word_back() {
-    let (site, leaving) = site_with_an_earlier_life();
-    tell(&site, 0, &leaving);
-    let told = clock::now();
+fn verify_an_incarnation_listed_late_does_not_cancel_its_announcement() {
+    let (site, leaving) = site_listing_an_earlier_incarnation();
+    announce_leaving(&site, 0, &leaving);
+    let announced_at = clock::now();
     thread::sleep(Duration::from_millis(DRAINS));
     site.list(&leaving, "ready");
     thread::sleep(Duration::from_secs(1));
-    assert_eq!(late_within_a_second(&site, &leaving, told), none());
+    assert_eq!(late_within_a_second(&site, &leaving, announced_at), no_late_requests());
 }
 
-/// Nothing is sent to a target that leaves, also where there is no other: callers are told at
-/// once, and not that they had better not come back.
+/// Leaving targets get no requests even if there are no others. Callers get a 503 at once, the
+/// status after which a retry is allowed.
 #[test]
 fn verify_requests_are_refused_at_once_where_all_targets_left() {
     let mut site = Site::open(2);
     site.pace = Pace::Platform;
     site.add_entry("");
     site.settle(2);
-    let [told, removed] = [0, 1].map(|it| site.replicas[it].clone());
-    tell(&site, 0, &told);
-    let left = clock::now();
+    let [announced, removed] = [0, 1].map(|it| site.replicas[it].clone());
+    announce_leaving(&site, 0, &announced);
+    let left_at = clock::now();
     site.store.remove(&format!("servers/{}", removed.id));
     thread::sleep(Duration::from_millis(DRAINS));
     for _ in 0..20 {
@@ -247,88 +255,95 @@
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(asked.elapsed() < Duration::from_millis(100), "{:?}", asked.elapsed());
     }
-    for it in [&told, &removed] {
-        assert_eq!(late(it, left, (0, 0)), none());
+    for target in [&announced, &removed] {
+        assert_eq!(late(target, left_at, (0, 0)), no_late_requests());
     }
 }
 
-/// Agents hold the list as well, and tell entries nothing of what left.
+/// Agents have the instance list as well, but must not send removals to entries, which would
+/// count them as bad frames.
 #[test]
-fn verify_agents_tell_entries_nothing_of_removals() {
+fn verify_agents_send_no_removals_to_entries() {
     let mut site = Site::open(3);
     site.add_entry("");
     site.settle(3);
     let machine = ranks::machine();
-    let at = SocketAddr::new(machine, ranks::free_port_at(&[machine]));
-    let agent = site.add_agent(at, site.replicas[1].addr);
-    let knows = |agent: &Process| {
+    let addr = SocketAddr::new(machine, ranks::free_port_at(&[machine]));
+    let agent = site.add_agent(addr, site.replicas[1].addr);
+    let listed = |agent: &Process| {
         let status = control(&agent.addr("admin"), "GET", "/status", "");
         status["instances"].as_u64()
     };
-    wait_for("the agent has the list", || knows(&agent) == Some(3));
-    let copy = site.store.copy();
+    wait_for("the agent has the instance list", || listed(&agent) == Some(3));
+    let backup = site.store.copy();
     site.store.remove(&format!("servers/{}", site.replicas[0].id));
-    wait_for("the agent knows who left", || knows(&agent) == Some(2));
-    site.store.restore(&copy, SECOND);
+    wait_for("the agent has read the removal", || listed(&agent) == Some(2));
+    site.store.restore(&backup, SECOND);
     site.list(&site.replicas[1], "ready");
     thread::sleep(Duration::from_secs(2));
-    let bad = metric(&site.entries[0].addr("admin"), "sablepass_ignored_total", "bad-frame");
-    assert_eq!(bad, 0.0);
+    let bad_frames = metric(&site.entries[0].addr("admin"), "sablepass_ignored_total", "bad-frame");
+    assert_eq!(bad_frames, 0.0);
 }
 
-/// Lines of targets that live lapse while the store is away, or are not in its copy, and are
-/// back within two seconds of its return.
+/// The line of a running target expires while the store is unavailable, or is missing in the
+/// restored backup, and is written again within two seconds of the store's return. The target
+/// must be used all the time.
 #[test]
-fn verify_a_target_that_lapsed_while_the_store_was_away_is_used_meanwhile() {
+fn verify_a_target_whose_line_expired_during_a_store_outage_stays_in_use() {
     for (mode, restored) in [(Mode::Down, false), (Mode::Silent, false), (Mode::Down, true)] {
         let running = Running::start(3);
         let store = &running.site.store;
-        let lapsed = running.site.replicas[0].clone();
+        let expired = running.site.replicas[0].clone();
         store.set(mode);
         thread::sleep(Duration::from_millis(1_500));
-        running.leave(&lapsed, Way::Removed);
-        let copy = store.copy();
+        running.leave(&expired, Way::Removed);
+        let backup = store.copy();
         thread::sleep(Duration::from_millis(1_500));
         if restored {
-            store.restore(&copy, SECOND);
+            store.restore(&backup, SECOND);
         }
         store.set(Mode::Up);
-        let back = clock::now();
+        let recovered_at = clock::now();
         thread::sleep(Duration::from_millis(1_900));
-        running.site.list(&lapsed, "ready");
+        running.site.list(&expired, "ready");
         thread::sleep(Duration::from_secs(2));
         let end = clock::now();
         running.end();
-        let arrivals = lapsed.arrivals().into_iter().map(|it| it.at).filter(|it| *it >= back);
-        let times: Vec<u64> = [back].into_iter().chain(arrivals).chain([end]).collect();
-        let longest = times.windows(2).map(|it| it[1] - it[0]).max().expect("two times");
-        assert!(longest < 1_000, "{mode:?}, restored: {restored}: nothing for {longest} ms");
+        let arrivals =
+            expired.arrivals().into_iter().map(|it| it.at).filter(|it| *it >= recovered_at);
+        let times: Vec<u64> = [recovered_at].into_iter().chain(arrivals).chain([end]).collect();
+        let longest_gap = times.windows(2).map(|it| it[1] - it[0]).max().expect("two times");
+        assert!(
+            longest_gap < 1_000,
+            "{mode:?}, restored: {restored}: no request for {longest_gap} ms"
+        );
     }
 }
 
-/// An entry remembers a removal that the others have forgotten, since the target has written
-/// its line again after the restore: how early the others read tells it from the copy's.
+/// The target has written its line again after the restore, so that the other entries have
+/// dropped its removal, which a paused entry still remembers. When it resumes, it must tell
+/// this line from the backup's by the time at which the others read it.
 #[test]
-fn verify_an_entry_that_wakes_beside_a_restore_uses_a_target_that_is_back() {
+fn verify_an_entry_resumed_after_a_restore_uses_a_target_that_is_back() {
     let running = Running::start(3);
-    let copy = running.site.store.copy();
+    let backup = running.site.store.copy();
     let back = running.site.replicas[0].clone();
-    let sleeper = ENTRIES - 1;
+    let paused = ENTRIES - 1;
     running.leave(&back, Way::Removed);
     thread::sleep(Duration::from_secs(1));
-    running.site.entries[sleeper].pause();
-    running.site.store.restore(&copy, SECOND);
+    running.site.entries[paused].pause();
+    running.site.store.restore(&backup, SECOND);
     thread::sleep(Duration::from_secs(1));
     running.site.list(&back, "ready");
     thread::sleep(Duration::from_secs(1));
-    running.site.entries[sleeper].wake();
-    let woke = clock::now();
+    running.site.entries[paused].wake();
+    let resumed_at = clock::now();
     let sent = || {
         let arrivals = back.arrivals();
-        let own = arrivals.iter().filter(|it| it.at > woke);
-        own.filter(|it| it.id.starts_with(&format!("{sleeper}-"))).count()
+        let own = arrivals.iter().filter(|it| it.at > resumed_at);
+        own.filter(|it| it.id.starts_with(&format!("{paused}-"))).count()
     };
     thread::sleep(Duration::from_secs(3));
-    assert!(sent() > 0, "it does not use the target");
+    assert!(sent() > 0, "the resumed entry does not use the target");
     running.end();
 }
