--- a/crates/sablepass-stand/tests/limited.rs
+++ b/crates/sablepass-stand/tests/limited.rs
@@ -1,15 +1,14 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A target that names how many requests a second it takes from all entries together.
+//! A target announces in its answers how many requests a second it accepts from all entries
+//! together, and must not get more.
 //!
-//! Seen: a target that named one request a second went on to get as many as all others,
-//! twelve and more in four seconds, from entries that it had told.
-//! How it came about: nothing else changed for it; it had as little load as the others, so that
-//! all entries went on to choose it among all.
-//! Cause: neither entries nor agents read that field of an answer, and nothing in them could
-//! keep a number of requests a second that belongs to all entries together.
-//! Proof: with real entries and each way to a target, it got hundreds in four seconds.
+//! Guards against a fault in which a target with a limit of one request a second got as many as
+//! the targets without one, twelve and more in four seconds: its load was as low as theirs, so
+//! that all entries went on to select it. Neither entries nor agents read the field, and they
+//! had no rate limit that is shared by all entries. With real entries, direct or through an
+//! agent, such a target got hundreds of requests in four seconds.
 
 mod common;
 
@@ -21,92 +20,99 @@
 use sablepass_stand::replica::{Arrival, Replica};
 use sablepass_stand::site::Site;
 
-/// Entries of a small site.
+/// Number of entries of a small site.
 const ENTRIES: usize = 5;
-/// Callers at each entry.
+/// Number of callers at each entry.
 const CALLERS: usize = 2;
-/// Time between an answer and its caller's next request.
+/// Time between an answer and the next request of the same caller.
 const PAUSE: Duration = Duration::from_millis(20);
-/// How long they call: the time from which a limit binds, and more than one span after it.
-const LASTS: Duration = Duration::from_millis(limits::CONTACT + 2 * limits::SPAN);
+/// Duration of the calls: the time until a limit must be kept, and more than one measured span
+/// after it.
+const CALL_DURATION: Duration = Duration::from_millis(limits::CONTACT + 2 * limits::SPAN);
 
-/// Callers at so many entries, who send requests of all kinds for so long.
-fn call(site: &Site, entries: usize, label: &str, lasts: Duration) -> Vec<Answer> {
+/// Has callers at the first `entries` entries send requests of all kinds for `duration`.
+fn call(site: &Site, entries: usize, label: &str, duration: Duration) -> Vec<Answer> {
     let callers = common::Callers { entries, each: CALLERS, pause: PAUSE };
-    callers.call(site, label, lasts)
+    callers.call(site, label, duration)
 }
 
-fn keeps(arrivals: &[Arrival], limit: f64) {
-    let (most, allowed) = limits::fullest_span(arrivals, limit).expect("it was sent something");
-    assert!(most as f64 <= allowed, "{most} requests in a span, {allowed} are allowed");
+fn assert_limit_kept(arrivals: &[Arrival], limit: f64) {
+    let (count, allowed) = limits::fullest_span(arrivals, limit)
+        .expect("the target got requests while its limit had to be kept");
+    assert!(count as f64 <= allowed, "{count} requests in a span, {allowed} are allowed");
 }
 
 #[test]
-fn verify_a_target_gets_no_more_than_it_takes() {
+fn verify_a_target_gets_no_more_requests_than_its_limit() {
     let site = common::site(3, ENTRIES);
     site.replicas[0].name_limit(Some(1.0));
-    let answers = call(&site, ENTRIES, "limited", LASTS);
-    keeps(&site.replicas[0].arrivals(), 1.0);
+    let answers = call(&site, ENTRIES, "limited", CALL_DURATION);
+    assert_limit_kept(&site.replicas[0].arrivals(), 1.0);
     let unserved: Vec<&Answer> = answers.iter().filter(|it| it.status != 200).collect();
-    assert!(unserved.is_empty(), "the others have room for all: {unserved:?}");
+    assert!(unserved.is_empty(), "the other targets have capacity for all requests: {unserved:?}");
 }
 
-/// In one answer in three: the others do not mean that it is over.
+/// Only one answer in three names the limit. The others don't end it.
 #[test]
-fn verify_a_limit_holds_that_few_answers_name() {
+fn verify_a_limit_that_few_answers_name_is_kept() {
     let site = common::site(3, 2);
     site.replicas[0].name_limit(Some(1.0));
     site.replicas[0].name_limit_in(3);
-    call(&site, 2, "few", LASTS);
-    keeps(&site.replicas[0].arrivals(), 1.0);
+    call(&site, 2, "few", CALL_DURATION);
+    assert_limit_kept(&site.replicas[0].arrivals(), 1.0);
 }
 
-/// The field that cannot be read changes nothing, whatever stands there.
+/// A malformed limit is counted and otherwise ignored.
 #[test]
-fn verify_what_is_no_rate_is_counted_and_changes_nothing() {
+fn verify_a_malformed_limit_is_counted_and_ignored() {
     let site = common::site(2, 1);
     let garbled = &site.replicas[0];
     for text in ["many", "-1", "NaN", "2/s", "1, 2", ""] {
         garbled.garble_limit(text);
         let before = garbled.runs().len();
         call(&site, 1, "garbled", Duration::from_millis(400));
-        assert!(garbled.runs().len() > before + 5, "{text:?}: it is used as before");
+        assert!(garbled.runs().len() > before + 5, "{text:?}: the target is used as before");
     }
     let admin = site.entries[0].addr("admin");
     assert!(metric(&admin, "sablepass_limits_named_total", "limit=\"unread\"") > 30.0);
     assert_eq!(metric(&admin, "sablepass_targets", "state=\"limited\""), 0.0);
 }
 
-/// It is lowered, raised and ends; soon after that the target gets as much as the others.
+/// The limit is lowered, raised and removed. Soon after its removal the target gets as many
+/// requests as the others.
 #[test]
-fn verify_a_limit_follows_what_its_target_says() {
+fn verify_changes_of_a_limit_are_followed() {
     let site = common::site(3, 2);
     let limited = &site.replicas[0];
     for limit in [20.0, 2.0, 8.0] {
         limited.name_limit(Some(limit));
-        call(&site, 2, &format!("at-{limit}"), LASTS);
-        keeps(&limited.arrivals(), limit);
+        call(&site, 2, &format!("at-{limit}"), CALL_DURATION);
+        assert_limit_kept(&limited.arrivals(), limit);
     }
     limited.name_limit(None);
-    let ended = Instant::now();
-    wait_for("all entries know that it is over", || {
+    let removed_at = Instant::now();
+    wait_for("all entries know that the limit is removed", || {
         call(&site, 2, "over", Duration::from_millis(200));
         site.entries
             .iter()
             .all(|it| metric(&it.addr("admin"), "sablepass_targets", "state=\"limited\"") == 0.0)
     });
-    // Three answers at eight a second, and a second until the others believe it.
-    assert!(ended.elapsed() < Duration::from_secs(4), "{:?}", ended.elapsed());
+    // An entry needs three answers without a limit, at eight requests a second; the other entries
+    // follow within a second.
+    assert!(removed_at.elapsed() < Duration::from_secs(4), "{:?}", removed_at.elapsed());
     let before: Vec<usize> = site.replicas.iter().map(|it| it.runs().len()).collect();
     call(&site, 2, "after", Duration::from_secs(2));
     let runs = site.replicas.iter().zip(before).map(|(it, before)| it.runs().len() - before);
     let runs: Vec<usize> = runs.collect();
-    assert!(runs[0] * 6 > runs.iter().sum(), "it gets about a third again: {runs:?}");
+    assert!(
+        runs[0] * 6 > runs.iter().sum(),
+        "the target gets about a third of the requests again: {runs:?}"
+    );
 }
 
-/// Its entry in the list lapses and comes back: it is the same life.
+/// The target's line expires and is written again by the same incarnation, whose limit stays.
 #[test]
-fn verify_no_list_ends_a_limit() {
+fn verify_an_expired_line_does_not_end_a_limit() {
     let site = common::site(3, 2);
     let limited = &site.replicas[0];
     limited.name_limit(Some(1.0));
@@ -115,28 +121,29 @@
     site.settle(2);
     site.list(limited, "ready");
     site.settle(3);
-    call(&site, 2, "back", LASTS);
-    keeps(&limited.arrivals(), 1.0);
+    call(&site, 2, "back", CALL_DURATION);
+    assert_limit_kept(&limited.arrivals(), 1.0);
 }
 
 #[test]
-fn verify_a_limit_ends_with_the_life_that_named_it() {
+fn verify_a_limit_ends_with_the_incarnation_that_named_it() {
     let mut site = common::site(2, 2);
     site.replicas[0].name_limit(Some(0.1));
     call(&site, 2, "first", Duration::from_millis(500));
     site.replicas[0].end();
-    let next = site.replicas[0].reborn();
-    site.list(&next, "ready");
-    site.replicas[0] = next;
-    wait_for("its next life gets as many as come", || {
+    let restarted = site.replicas[0].reborn();
+    site.list(&restarted, "ready");
+    site.replicas[0] = restarted;
+    wait_for("the restarted target gets requests without a limit", || {
         call(&site, 2, "next", Duration::from_millis(200));
         site.replicas[0].runs().len() > 20
     });
 }
 
-/// What nobody reads may be how a target wants to be used: it shows before it does harm.
+/// A header field that entries don't read may restrict how a target is to be used. It is counted,
+/// and logged once for a target, so that operators notice it.
 #[test]
-fn verify_fields_that_nobody_reads_are_counted() {
+fn verify_unread_header_fields_are_counted() {
     let site = common::site(2, 1);
     site.replicas[0].name_field(Some("server-mood: low"));
     call(&site, 1, "mood", Duration::from_millis(500));
@@ -144,41 +151,46 @@
     assert!(metric(&admin, "sablepass_fields_unread_total", "field=\"server-mood\"") > 1.0);
     let log = site.entries[0].log();
     let lines = log.iter().filter(|it| it["event"] == "field of an answer unread");
-    assert_eq!(lines.count(), 1, "once for the target");
+    assert_eq!(lines.count(), 1, "the field is logged once for the target");
 }
 
-/// Callers come at one entry only, and all targets have limits: all of these are used, and
-/// whoever gets nothing is told so at once, and when there is something.
+/// All callers use one entry, and all targets have limits. The limits are used up, and requests
+/// beyond them are refused at once with the time after which a retry may be admitted.
 #[test]
-fn verify_all_of_a_limit_is_used_where_no_other_target_is_there() {
+fn verify_limits_are_used_up_where_all_targets_have_one() {
     let site = common::site(2, 3);
     let limits = [2.0, 4.0];
-    let name = |it: (&Replica, f64)| it.0.name_limit(Some(it.1));
-    site.replicas.iter().zip(limits).for_each(name);
-    let answers = call(&site, 1, "one", LASTS);
-    let seconds = LASTS.as_secs_f64();
+    let name_limit = |it: (&Replica, f64)| it.0.name_limit(Some(it.1));
+    site.replicas.iter().zip(limits).for_each(name_limit);
+    let answers = call(&site, 1, "one", CALL_DURATION);
+    let seconds = CALL_DURATION.as_secs_f64();
     let served = answers.iter().filter(|it| it.status == 200).count() as f64;
-    let least = 0.8 * 6.0 * seconds;
-    assert!(served > least, "{served} of {} were served, at least {least}", answers.len());
-    for (it, limit) in site.replicas.iter().zip(limits) {
-        keeps(&it.arrivals(), limit);
+    let least_served = 0.8 * 6.0 * seconds;
+    assert!(
+        served > least_served,
+        "{served} of {} were served, at least {least_served} are required",
+        answers.len()
+    );
+    for (replica, limit) in site.replicas.iter().zip(limits) {
+        assert_limit_kept(&replica.arrivals(), limit);
     }
     let refused: Vec<&Answer> = answers.iter().filter(|it| it.status != 200).collect();
     assert!(refused.iter().all(|it| it.status == 503 && it.ran != "ran"), "{refused:?}");
-    let told = refused.iter().filter_map(|it| it.retry_after.parse::<f64>().ok());
-    let told: Vec<f64> = told.collect();
-    assert_eq!(told.len(), refused.len(), "all are told when to come back");
-    // One of the two takes a request in 0.25 s at the latest; as long again spreads them.
-    assert!(told.iter().all(|it| *it < 1.0), "{told:?}");
+    let retry_after = refused.iter().filter_map(|it| it.retry_after.parse::<f64>().ok());
+    let retry_after: Vec<f64> = retry_after.collect();
+    assert_eq!(retry_after.len(), refused.len(), "all refusals have a retry-after");
+    // The target with the higher limit accepts a request every 0.25 s; a spread of the same length
+    // is added so that callers don't retry at once.
+    assert!(retry_after.iter().all(|it| *it < 1.0), "{retry_after:?}");
     for entry in &site.entries {
-        let fault = metric(&entry.addr("admin"), "sablepass_sent_over_limit_total", "");
-        assert_eq!(fault, 0.0, "an entry sent over its part");
+        let over_limit = metric(&entry.addr("admin"), "sablepass_sent_over_limit_total", "");
+        assert_eq!(over_limit, 0.0, "an entry exceeded its share of a limit");
     }
 }
 
-/// Entries end, are stopped, go on and start anew meanwhile.
+/// Entries end, are paused and resumed, and are started meanwhile.
 #[test]
-fn verify_a_limit_holds_while_entries_come_and_go() {
+fn verify_a_limit_is_kept_while_entries_start_and_end() {
     let mut site = common::site(3, 4);
     let limited = site.replicas[0].clone();
     limited.name_limit(Some(1.0));
@@ -195,34 +207,34 @@
             site.add_entry("");
         }
     }
-    call(&site, 4, "last", LASTS);
-    keeps(&limited.arrivals(), 1.0);
+    call(&site, 4, "last", CALL_DURATION);
+    assert_limit_kept(&limited.arrivals(), 1.0);
 }
 
-/// Targets with an agent before them: the agent sees what all entries send.
+/// An agent before the target sees the requests of all entries, and must keep its limit.
 #[test]
-fn verify_an_engine_behind_its_agent_gets_no_more_than_it_takes() {
+fn verify_an_engine_behind_its_agent_gets_no_more_requests_than_its_limit() {
     let mut fleet = common::fleet(false);
     fleet.add_entry("entry-2", "ba-1", "");
     fleet.settle(3, 1);
     let limited = &fleet.targets[0];
     limited.name_limit(Some(1.0));
     let addrs = [fleet.http(0), fleet.http(1)];
-    let until = Instant::now() + LASTS;
+    let until = Instant::now() + CALL_DURATION;
     let caller = |addr: &str, label: &str| {
         let mut number = 0;
         while Instant::now() < until {
             number += 1;
             let word = format!("{label}{number}");
             let answer = Ask::chat(common::FARM, "triage", &word, 2, true).send(addr);
-            assert_eq!(answer.status, 200, "another engine has room: {answer:?}");
+            assert_eq!(answer.status, 200, "the other engine has capacity: {answer:?}");
         }
     };
     thread::scope(|scope| {
         scope.spawn(|| caller(&addrs[0], "one"));
         scope.spawn(|| caller(&addrs[1], "two"));
     });
-    let at = |it: &serde_json::Value| it["at"].as_u64().unwrap_or_default();
-    let arrival = |it| Arrival { at: at(it), limit: Some(1.0), ..Arrival::default() };
-    keeps(&limited.runs().iter().map(arrival).collect::<Vec<Arrival>>(), 1.0);
+    let time_ms = |it: &serde_json::Value| it["at"].as_u64().unwrap_or_default();
+    let arrival = |it| Arrival { at: time_ms(it), limit: Some(1.0), ..Arrival::default() };
+    assert_limit_kept(&limited.runs().iter().map(arrival).collect::<Vec<Arrival>>(), 1.0);
 }
