--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -1,9 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Targets leave in every way, beside every trouble of the store, before, during and after
-//! it, while an entry ends and another one starts. Nothing reaches them later than they
-//! serve on, and targets that live are used to the end.
+//! A table of cases: targets leave in each way, before, during and after each fault of the
+//! store, while one entry is killed and another one starts. No request may reach a target after
+//! its drain time, and the targets that stay must be used to the end.
 
 mod common;
 
@@ -19,181 +19,193 @@
 
 const WAYS: [Way; 3] = [Way::Draining, Way::Removed, Way::Told];
 const MOMENTS: [Moment; 4] = [Moment::Before, Moment::During, Moment::After, Moment::Later];
-/// Targets that do not leave.
-const LIVE: usize = 3;
-/// Milliseconds from the end of a trouble after which the list is taken at its word: three
-/// seconds in which lines that lapsed are back, and two until a process has read it again.
-const SETTLED: u64 = 5_000;
-/// Milliseconds after which an entry that has started is bound by what it can know.
-const STARTED: u64 = 3_000;
-
-/// What is wrong with the store for two seconds.
+/// Number of targets that stay.
+const STAYING: usize = 3;
+/// Time from the end of a fault until removals are believed again: three seconds for expired
+/// lines to be written again, and two for processes to read the list.
+const SETTLED_MS: u64 = 5_000;
+/// Time after its start within which a new entry may still use a target that has left.
+const STARTUP_MS: u64 = 3_000;
+
+/// Fault of the store, which lasts for two seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
-    Nothing,
-    Is(Mode),
-    Forgets,
+enum Fault {
+    Healthy,
+    InMode(Mode),
+    HistoryLost,
     Restored,
     RestoredTwice,
 }
 
-impl Trouble {
+impl Fault {
     fn begin(self, store: &Store) {
         match self {
-            Self::Nothing => {}
-            Self::Is(mode) => store.set(mode),
-            Self::Forgets => store.forget(),
+            Self::Healthy => {}
+            Self::InMode(mode) => store.set(mode),
+            Self::HistoryLost => store.forget(),
             Self::Restored | Self::RestoredTwice => store.set(Mode::Down),
         }
     }
 
-    fn end(self, store: &Store, copy: &Copy) {
+    fn end(self, store: &Store, backup: &Copy) {
         if matches!(self, Self::Restored | Self::RestoredTwice) {
-            store.restore(copy, SECOND);
+            store.restore(backup, SECOND);
         }
         if self == Self::RestoredTwice {
             thread::sleep(Duration::from_millis(500));
-            store.restore(copy, SECOND + 1);
+            store.restore(backup, SECOND + 1);
         }
         store.set(Mode::Up);
     }
 
-    /// Whether the store takes lines meanwhile.
-    fn takes_lines(self) -> bool {
+    /// Whether the store accepts writes during the fault.
+    fn accepts_writes(self) -> bool {
         match self {
-            Self::Nothing | Self::Forgets => true,
-            Self::Is(mode) => matches!(mode, Mode::Slow | Mode::Refusing),
+            Self::Healthy | Self::HistoryLost => true,
+            Self::InMode(mode) => matches!(mode, Mode::Slow | Mode::Refusing),
             Self::Restored | Self::RestoredTwice => false,
         }
     }
 }
 
-/// When a target leaves.
+/// Time at which a target leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Moment {
-    /// A second before the trouble.
+    /// One second before the fault.
     Before,
-    /// Half a second after its beginning.
+    /// Half a second after the start of the fault.
     During,
-    /// As it has just ended.
+    /// Right after the end of the fault.
     After,
-    /// Some seconds later, as the line of another target changes.
+    /// 3.5 seconds after the end of the fault, right before the line of another target changes.
     Later,
 }
 
-/// A target that left.
-struct Left {
+/// A target that has left.
+struct Departure {
     replica: Replica,
     way: Way,
     moment: Moment,
-    at: u64,
+    at_ms: u64,
 }
 
-/// Has targets leave at a moment in all ways that the store allows then.
-fn leave(running: &Running, unused: &mut Vec<Replica>, moment: Moment, ways: &[Way]) -> Vec<Left> {
-    let one = |way: &Way| {
+/// Has one unused target leave in each of the given ways.
+fn leave(
+    running: &Running,
+    unused: &mut Vec<Replica>,
+    moment: Moment,
+    ways: &[Way],
+) -> Vec<Departure> {
+    let leave_in = |way: &Way| {
         let replica = unused.pop().expect("a target");
-        let at = running.leave(&replica, *way);
-        Left { replica, way: *way, moment, at }
+        let at_ms = running.leave(&replica, *way);
+        Departure { replica, way: *way, moment, at_ms }
     };
-    ways.iter().map(one).collect()
+    ways.iter().map(leave_in).collect()
 }
 
-/// Requests that reached a target too late, by the entry that sent them.
-fn late(left: &Left, ended: u64, fresh: (usize, u64)) -> HashMap<usize, usize> {
-    let mut told: HashMap<usize, u64> = HashMap::new();
+/// Counts the requests that reached a target too late, by the entry that sent them. `fault_end`
+/// is when the fault ended, `fresh` the new entry with its start, all in milliseconds.
+fn late_requests(
+    departure: &Departure,
+    fault_end: u64,
+    fresh: (usize, u64),
+) -> HashMap<usize, usize> {
+    let mut announced: HashMap<usize, u64> = HashMap::new();
     let mut late = HashMap::new();
-    for arrival in left.replica.arrivals() {
-        let (entry, _) = arrival.id.split_once('-').expect("a name");
-        let entry: usize = entry.parse().expect("a number");
-        let since = match (left.way, left.moment) {
-            // Only who was told is bound.
-            (Way::Told, _) if arrival.leaves.is_some() => *told.entry(entry).or_insert(arrival.at),
+    for arrival in departure.replica.arrivals() {
+        let (entry, _) = arrival.id.split_once('-').expect("a request id of entry and number");
+        let entry: usize = entry.parse().expect("the number of an entry");
+        let since = match (departure.way, departure.moment) {
+            // An announcement binds only the entries that got it in an answer.
+            (Way::Told, _) if arrival.leaves.is_some() => {
+                *announced.entry(entry).or_insert(arrival.at)
+            }
             (Way::Told, _) => continue,
-            (_, Moment::Before | Moment::Later) => left.at,
-            (_, Moment::During | Moment::After) => ended + SETTLED - DRAINS,
+            (_, Moment::Before | Moment::Later) => departure.at_ms,
+            (_, Moment::During | Moment::After) => fault_end + SETTLED_MS - DRAINS,
         };
-        let knows = if entry == fresh.0 { fresh.1 + STARTED } else { 0 };
-        if arrival.at > (since + DRAINS).max(knows) {
+        let startup_end = if entry == fresh.0 { fresh.1 + STARTUP_MS } else { 0 };
+        if arrival.at > (since + DRAINS).max(startup_end) {
             *late.entry(entry).or_default() += 1;
         }
     }
     late
 }
 
-fn play(trouble: Trouble) {
-    let mut running = Running::start(LIVE + WAYS.len() * MOMENTS.len());
+fn check_departures(fault: Fault) {
+    let mut running = Running::start(STAYING + WAYS.len() * MOMENTS.len());
     let mut unused = running.site.replicas.clone();
-    let live: Vec<Replica> = unused.drain(..LIVE).collect();
+    let staying: Vec<Replica> = unused.drain(..STAYING).collect();
     let store = running.site.store.clone();
-    let copy = store.copy();
-    let mut left = leave(&running, &mut unused, Moment::Before, &WAYS);
+    let backup = store.copy();
+    let mut departures = leave(&running, &mut unused, Moment::Before, &WAYS);
     thread::sleep(Duration::from_secs(1));
-    trouble.begin(&store);
+    fault.begin(&store);
     running.site.entries[ENTRIES - 1].kill();
     thread::sleep(Duration::from_millis(500));
-    let ways = if trouble.takes_lines() { &WAYS[..] } else { &[Way::Told] };
-    left.extend(leave(&running, &mut unused, Moment::During, ways));
+    let ways = if fault.accepts_writes() { &WAYS[..] } else { &[Way::Told] };
+    departures.extend(leave(&running, &mut unused, Moment::During, ways));
     thread::sleep(Duration::from_millis(1_500));
-    trouble.end(&store, &copy);
-    let ended = clock::now();
+    fault.end(&store, &backup);
+    let fault_end = clock::now();
     let entry = running.site.add_entry_at("", SEEDS);
     let fresh = (entry, clock::now());
     running.call(entry);
-    left.extend(leave(&running, &mut unused, Moment::After, &WAYS));
+    departures.extend(leave(&running, &mut unused, Moment::After, &WAYS));
     thread::sleep(Duration::from_millis(3_500));
-    left.extend(leave(&running, &mut unused, Moment::Later, &WAYS));
+    departures.extend(leave(&running, &mut unused, Moment::Later, &WAYS));
     running.site.add_replica("orders");
     thread::sleep(Duration::from_secs(4));
-    let over = clock::now();
-    let wrong = |it: &Left| {
-        let late = late(it, ended, fresh);
+    let test_end = clock::now();
+    let failures = |it: &Departure| {
+        let late = late_requests(it, fault_end, fresh);
         (!late.is_empty()).then(|| format!("{:?} {:?}: {late:?}", it.way, it.moment))
     };
-    let wrong: Vec<String> = left.iter().filter_map(wrong).collect();
-    let used = |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAINS > over);
-    let used = live.iter().filter(used).count();
+    let failures: Vec<String> = departures.iter().filter_map(failures).collect();
+    let used = |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAINS > test_end);
+    let used = staying.iter().filter(used).count();
     running.end();
-    assert!(wrong.is_empty(), "{trouble:?}: {wrong:#?}");
-    assert_eq!(used, LIVE, "{trouble:?}: targets that live are used");
+    assert!(failures.is_empty(), "{fault:?}: {failures:#?}");
+    assert_eq!(used, STAYING, "{fault:?}: the targets that stay are in use");
 }
 
 #[test]
-fn verify_targets_that_leave_while_the_store_is_well() {
-    play(Trouble::Nothing);
+fn verify_targets_that_leave_while_the_store_is_healthy() {
+    check_departures(Fault::Healthy);
 }
 
 #[test]
-fn verify_targets_that_leave_beside_an_unreachable_store() {
-    play(Trouble::Is(Mode::Down));
+fn verify_targets_that_leave_during_an_outage_of_the_store() {
+    check_departures(Fault::InMode(Mode::Down));
 }
 
 #[test]
-fn verify_targets_that_leave_beside_a_silent_store() {
-    play(Trouble::Is(Mode::Silent));
+fn verify_targets_that_leave_while_the_store_is_silent() {
+    check_departures(Fault::InMode(Mode::Silent));
 }
 
 #[test]
-fn verify_targets_that_leave_beside_a_slow_store() {
-    play(Trouble::Is(Mode::Slow));
+fn verify_targets_that_leave_while_the_store_is_slow() {
+    check_departures(Fault::InMode(Mode::Slow));
 }
 
 #[test]
-fn verify_targets_that_leave_beside_a_store_that_refuses_calls() {
-    play(Trouble::Is(Mode::Refusing));
+fn verify_targets_that_leave_while_the_store_refuses_calls() {
+    check_departures(Fault::InMode(Mode::Refusing));
 }
 
 #[test]
-fn verify_targets_that_leave_beside_a_store_that_forgets_its_history() {
-    play(Trouble::Forgets);
+fn verify_targets_that_leave_while_the_store_loses_its_history() {
+    check_departures(Fault::HistoryLost);
 }
 
 #[test]
-fn verify_targets_that_leave_beside_a_restored_store() {
-    play(Trouble::Restored);
+fn verify_targets_that_leave_while_the_store_is_restored() {
+    check_departures(Fault::Restored);
 }
 
 #[test]
-fn verify_targets_that_leave_beside_a_store_that_is_restored_twice() {
-    play(Trouble::RestoredTwice);
+fn verify_targets_that_leave_while_the_store_is_restored_twice() {
+    check_departures(Fault::RestoredTwice);
 }
