--- a/crates/sablepass-stand/tests/resting.rs
+++ b/crates/sablepass-stand/tests/resting.rs
@@ -1,15 +1,14 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A target that turns requests away and asks for a rest.
+//! A target rejects requests and asks for a pause, during which it must get no requests.
 //!
-//! Seen: targets that turned all requests away got more of them than those that worked,
-//! and retries were used up, so that callers were refused while most targets had room.
-//! How it came about: each such answer asked for three seconds without requests from the
-//! entry that got it, and the next one followed within a tenth of a second.
-//! Cause: entries read of the answer only that the request had not run, and left the target alone
-//! for 40 ms of their own; one that turns all away has no load and is then chosen first.
-//! Proof: at one entry, all other targets being sound, most of the requests reach it.
+//! Guards against a fault in which targets that rejected all requests got more of them than
+//! healthy ones, so that retries were used up and callers refused while most targets had
+//! capacity. Each rejection asked the entry for three seconds without requests, but the next one
+//! followed within a tenth of a second: entries read only that the request had not run, and
+//! backed off for their own 40 ms. A target that rejects everything has no load and is then
+//! selected first, even if all other targets are healthy.
 
 mod common;
 
@@ -19,127 +18,129 @@
 use sablepass_stand::replica::{Arrival, Mode, Replica, most_in_rest};
 use sablepass_stand::site::{Site, ask};
 
-/// The rest that is asked for.
-const REST: u64 = 3_000;
-/// Requests on their way when it is asked for may still arrive for so long.
-const GRACE: u64 = 500;
-/// Requests that may reach a target besides while it rests.
-const MOST: usize = 2;
-/// Callers at each entry.
+/// Pause that targets ask for.
+const REST_MS: u64 = 3_000;
+/// Time for which requests in flight may still arrive once a pause is asked for.
+const GRACE_MS: u64 = 500;
+/// Maximum number of further requests that may reach a target during its pause.
+const MAX_REQUESTS: usize = 2;
+/// Number of callers at each entry.
 const CALLERS: usize = 3;
-/// Time between an answer and its caller's next request.
+/// Time between an answer and the next request of the same caller.
 const PAUSE: Duration = Duration::from_millis(5);
 
 fn send(site: &Site, entry: usize, kind: &str, id: &str) -> Answer {
     ask("POST", &format!("/{kind}/x"), id, "q").send(&site.http(entry))
 }
 
-/// Callers at so many entries, who send requests of all kinds for so long.
-fn call(site: &Site, entries: usize, label: &str, lasts: Duration) -> Vec<Answer> {
+/// Has callers at the first `entries` entries send requests of all kinds for `duration`.
+fn call(site: &Site, entries: usize, label: &str, duration: Duration) -> Vec<Answer> {
     let callers = common::Callers { entries, each: CALLERS, pause: PAUSE };
-    callers.call(site, label, lasts)
+    callers.call(site, label, duration)
 }
 
-/// The most that any entry had reach a target while that wanted to rest.
-fn pestered(it: &Replica, entries: usize) -> usize {
+/// The largest number of requests from one entry that reached a target during its pause.
+fn max_requests_in_rest(replica: &Replica, entries: usize) -> usize {
     let from = |entry: usize| {
-        let all = it.arrivals().into_iter();
+        let all = replica.arrivals().into_iter();
         all.filter(|it| it.id.starts_with(&format!("{entry}-"))).collect::<Vec<Arrival>>()
     };
-    (0..entries).map(|entry| most_in_rest(&from(entry), GRACE)).max().unwrap_or(0)
+    (0..entries).map(|entry| most_in_rest(&from(entry), GRACE_MS)).max().unwrap_or(0)
 }
 
 #[test]
-fn verify_a_target_that_asks_for_rest_is_left_alone() {
+fn verify_a_requested_pause_is_kept() {
     let site = common::site(4, 2);
-    site.replicas[0].set(Mode::Shed(REST));
-    site.replicas[1].set(Mode::Shed(REST));
-    let answers = call(&site, 2, "rest", Duration::from_millis(2 * REST + 500));
-    for it in &site.replicas[..2] {
-        let most = pestered(it, 2);
-        assert!(most <= MOST, "{most} requests reached a target that rests");
+    site.replicas[0].set(Mode::Shed(REST_MS));
+    site.replicas[1].set(Mode::Shed(REST_MS));
+    let answers = call(&site, 2, "rest", Duration::from_millis(2 * REST_MS + 500));
+    for replica in &site.replicas[..2] {
+        let most = max_requests_in_rest(replica, 2);
+        assert!(most <= MAX_REQUESTS, "{most} requests reached a target during its pause");
     }
-    // Two targets have room for all: a caller is refused only if both attempts that its
-    // route allows ended at the other two, each of which asked an entry thrice at most.
-    let met = |it: &Replica, id: &str| it.arrivals().iter().any(|arrival| arrival.id == id);
+    // Two targets have capacity for all requests. A request fails only if both attempts that its
+    // route allows ended at the other two, each of which asks an entry for at most three pauses.
+    let reached =
+        |replica: &Replica, id: &str| replica.arrivals().iter().any(|arrival| arrival.id == id);
     let unserved: Vec<&Answer> = answers.iter().filter(|it| it.status != 200).collect();
-    let all_met = |it: &&Answer| site.replicas[..2].iter().all(|replica| met(replica, &it.id));
-    assert!(unserved.iter().all(all_met), "{unserved:?}");
+    let reached_both =
+        |it: &&Answer| site.replicas[..2].iter().all(|replica| reached(replica, &it.id));
+    assert!(unserved.iter().all(reached_both), "{unserved:?}");
     assert!(unserved.len() <= 6, "{} of {}", unserved.len(), answers.len());
     for entry in &site.entries {
-        let fault = metric(&entry.addr("admin"), "sablepass_sent_to_resting_total", "");
-        assert_eq!(fault, 0.0, "requests were sent to a target that rests");
+        let sent_in_rest = metric(&entry.addr("admin"), "sablepass_sent_to_resting_total", "");
+        assert_eq!(sent_in_rest, 0.0, "the entry sent requests to a target during its pause");
     }
 }
 
-/// Once its rest is over it is used again, and asked for no more rest it stays so.
+/// A target is used again as soon as its pause is over.
 #[test]
-fn verify_a_target_that_has_rested_is_used_again() {
+fn verify_a_target_is_used_again_after_its_pause() {
     let site = common::site(2, 1);
-    let rested = &site.replicas[0];
-    rested.set(Mode::Shed(1_000));
-    wait_for("it asks for rest", || {
+    let resting = &site.replicas[0];
+    resting.set(Mode::Shed(1_000));
+    wait_for("the target asks for a pause", || {
         send(&site, 0, "safe", "0-first");
-        !rested.arrivals().is_empty()
+        !resting.arrivals().is_empty()
     });
-    rested.set(Mode::Good);
-    let asked = Instant::now();
-    wait_for("it is used again", || {
+    resting.set(Mode::Good);
+    let asked_at = Instant::now();
+    wait_for("the target is used again", || {
         send(&site, 0, "safe", "0-again");
-        !rested.runs().is_empty()
+        !resting.runs().is_empty()
     });
-    let after = asked.elapsed();
-    assert!((900..1_300).contains(&after.as_millis()), "{after:?}");
+    let elapsed = asked_at.elapsed();
+    assert!((900..1_300).contains(&elapsed.as_millis()), "{elapsed:?}");
 }
 
-/// The list drops a target and names it again: it is the same one, and still rests.
+/// A target's line expires and is written again by the same incarnation, whose pause goes on.
 #[test]
-fn verify_a_lapse_of_its_entry_does_not_end_a_rest() {
+fn verify_an_expired_line_does_not_end_a_pause() {
     let site = common::site(3, 1);
     let resting = &site.replicas[0];
     resting.set(Mode::Shed(6_000));
-    wait_for("it asks for rest", || {
+    wait_for("the target asks for a pause", || {
         send(&site, 0, "safe", "0-first");
         !resting.arrivals().is_empty()
     });
     site.store.remove(&format!("servers/{}", resting.id));
     site.settle(2);
     site.list(resting, "ready");
-    wait_for("it is known again", || {
+    wait_for("the target is listed again", || {
         let admin = site.entries[0].addr("admin");
         metric(&admin, "sablepass_targets", "state=\"listed\"") == 3.0
     });
     call(&site, 1, "back", Duration::from_millis(1_500));
-    let most = pestered(resting, 1);
-    assert!(most <= MOST, "{most} requests reached a target that rests");
+    let most = max_requests_in_rest(resting, 1);
+    assert!(most <= MAX_REQUESTS, "{most} requests reached a target during its pause");
 }
 
-/// A later life never asked for anything.
+/// A restarted target has asked for no pause.
 #[test]
-fn verify_a_rest_ends_with_the_life_that_asked_for_it() {
+fn verify_a_pause_ends_with_the_incarnation_that_asked_for_it() {
     let mut site = common::site(2, 1);
     site.replicas[0].set(Mode::Shed(60_000));
-    wait_for("it asks for rest", || {
+    wait_for("the target asks for a pause", || {
         send(&site, 0, "safe", "0-first");
         !site.replicas[0].arrivals().is_empty()
     });
     site.replicas[0].end();
-    let next = site.replicas[0].reborn();
-    site.list(&next, "ready");
-    site.replicas[0] = next;
-    wait_for("its next life is used", || {
+    let restarted = site.replicas[0].reborn();
+    site.list(&restarted, "ready");
+    site.replicas[0] = restarted;
+    wait_for("the restarted target is used", || {
         send(&site, 0, "safe", "0-again");
         !site.replicas[0].runs().is_empty()
     });
 }
 
-/// Targets with an agent before them: it knows what they ask for, and so do the entries.
+/// The agent before a target reads the requested pause, and so do the entries.
 #[test]
-fn verify_an_engine_behind_its_agent_is_left_alone() {
+fn verify_a_pause_of_an_engine_behind_its_agent_is_kept() {
     let fleet = common::fleet(false);
     let (resting, addr) = (&fleet.targets[0], fleet.http(0));
-    resting.mode(&format!("rest {REST}"));
-    let until = Instant::now() + Duration::from_millis(REST + 500);
+    resting.mode(&format!("rest {REST_MS}"));
+    let until = Instant::now() + Duration::from_millis(REST_MS + 500);
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
@@ -147,39 +148,46 @@
         let answer = Ask::chat(common::FARM, "triage", &word, 2, true).send(&addr);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    let turned = resting.turned();
-    let first = *turned.first().expect("it was asked once");
-    let within = first + GRACE..first + REST;
-    let most = turned.iter().filter(|it| within.contains(it)).count();
-    assert!(most <= MOST, "{most} of {} reached an engine that rests", turned.len());
+    let rejected_at = resting.turned();
+    let first = *rejected_at.first().expect("the engine rejected a request");
+    let within = first + GRACE_MS..first + REST_MS;
+    let most = rejected_at.iter().filter(|it| within.contains(it)).count();
+    assert!(
+        most <= MAX_REQUESTS,
+        "{most} of {} requests reached an engine during its pause",
+        rejected_at.len()
+    );
 }
 
-/// All of them rest: callers are told how long.
+/// All engines pause. Refusals name the time until the first one is back.
 #[test]
-fn verify_callers_are_told_when_all_engines_have_rested() {
+fn verify_refusals_name_the_end_of_the_pause_of_all_engines() {
     let fleet = common::fleet(false);
     let addr = fleet.http(0);
-    fleet.targets[..2].iter().for_each(|it| it.mode(&format!("rest {REST}")));
-    let asked = Instant::now();
+    fleet.targets[..2].iter().for_each(|it| it.mode(&format!("rest {REST_MS}")));
+    let asked_at = Instant::now();
     let ask = || Ask::chat(common::FARM, "triage", "all", 2, true).send(&addr);
-    wait_for("all ask for rest", || {
+    wait_for("all targets ask for a pause", || {
         ask();
         fleet.targets[..2].iter().all(|it| !it.turned().is_empty())
     });
-    wait_for("the entry knows", || ask().reason() == "targets-rest");
+    wait_for("the entry refuses because all targets pause", || ask().reason() == "targets-rest");
     let answer = ask();
-    let left = REST as f64 / 1_000.0 - asked.elapsed().as_secs_f64();
-    let told: f64 = answer.retry_after.parse().expect("a time to come back");
-    assert!((left..left + 1.3).contains(&told), "told {told} whole seconds, {left} are left");
+    let remaining = REST_MS as f64 / 1_000.0 - asked_at.elapsed().as_secs_f64();
+    let retry_after: f64 = answer.retry_after.parse().expect("a retry-after in seconds");
+    assert!(
+        (remaining..remaining + 1.3).contains(&retry_after),
+        "retry-after is {retry_after} s, {remaining} s are left"
+    );
 }
 
-/// Where all rest nothing can be served: callers are told so at once, and when to return.
+/// All targets pause. Requests are refused at once, with the time until the end of the pause.
 #[test]
-fn verify_callers_are_told_when_all_targets_have_rested() {
+fn verify_refusals_name_the_end_of_the_pause_of_all_targets() {
     let site = common::site(2, 1);
-    site.replicas.iter().for_each(|it| it.set(Mode::Shed(REST)));
-    let asked = Instant::now();
-    wait_for("all ask for rest", || {
+    site.replicas.iter().for_each(|it| it.set(Mode::Shed(REST_MS)));
+    let asked_at = Instant::now();
+    wait_for("all targets ask for a pause", || {
         send(&site, 0, "safe", "0-first");
         site.replicas.iter().all(|it| !it.arrivals().is_empty())
     });
@@ -187,9 +195,12 @@
         let arrived = Instant::now();
         let answer = send(&site, 0, kind, &format!("0-{kind}"));
         assert!(arrived.elapsed() < Duration::from_millis(100), "{:?}", arrived.elapsed());
-        let left = REST as f64 / 1_000.0 - asked.elapsed().as_secs_f64();
-        let told: f64 = answer.retry_after.parse().expect("a time to come back");
-        assert!((told - left).abs() < 0.3, "{kind}: told {told}, {left} are left");
-        assert_eq!(answer.status, 503, "{kind}: nothing ran");
+        let remaining = REST_MS as f64 / 1_000.0 - asked_at.elapsed().as_secs_f64();
+        let retry_after: f64 = answer.retry_after.parse().expect("a retry-after in seconds");
+        assert!(
+            (retry_after - remaining).abs() < 0.3,
+            "{kind}: retry-after is {retry_after} s, {remaining} s are left"
+        );
+        assert_eq!(answer.status, 503, "{kind}: the request did not run");
     }
 }
