--- a/crates/sablepass-stand/tests/leaving.rs
+++ b/crates/sablepass-stand/tests/leaving.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! A target says in its answers that it leaves, while the instance list still has it
-//! ready: whoever was told sends it nothing more.
+//! A target announces in its answers that it leaves, while the instance list still has it as
+//! ready. Entries that know of the announcement must send it no more requests.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,10 +11,11 @@
 use sablepass_stand::replica::{self, Mode, Replica};
 use sablepass_stand::site::{Site, ask};
 
-/// Requests that would reach a target of two, were it not known that it leaves.
-const MANY: usize = 60;
-/// Connections are kept for three seconds otherwise.
-const KEPT: Duration = Duration::from_secs(1);
+/// Number of requests after an announcement, of which a target of two would otherwise get some.
+const REQUESTS: usize = 60;
+/// Time within which idle connections to a leaving target must be closed; others are kept for
+/// three seconds.
+const MAX_CLOSE_TIME: Duration = Duration::from_secs(1);
 
 fn site(replicas: usize) -> Site {
     let mut site = Site::open(replicas);
@@ -27,53 +28,58 @@
     ask("POST", &format!("/{kind}/x"), id, "q").send(&site.http(0))
 }
 
-/// Sends requests of all kinds, one after the other, all of which are served.
+/// Sends requests of all kinds one after another, and asserts that all are served.
 fn send_many(site: &Site, label: &str) {
-    for number in 0..MANY {
+    for number in 0..REQUESTS {
         let kind = ["stream", "safe", "once"][number % 3];
         let answer = send(site, kind, &format!("{label}-{number}"));
         assert_eq!(answer.status, 200, "{answer:?}");
     }
 }
 
-/// Sends requests until an answer of the target has said that it leaves.
-fn tell(site: &Site, leaving: &Replica) {
+/// Sends requests until an answer of the target has announced that it leaves.
+fn announce_leaving(site: &Site, leaving: &Replica) {
     leaving.leave();
-    let told = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
-    wait_for("it has told", || {
+    let announced = || leaving.arrivals().iter().any(|it| it.leaves.is_some());
+    wait_for("an answer of the target announces that it leaves", || {
         send(site, "safe", "first");
-        told()
+        announced()
     });
 }
 
 #[test]
-fn verify_a_target_that_says_it_leaves_gets_nothing_more() {
+fn verify_a_target_that_announces_leaving_gets_no_more_requests() {
     for mode in [Mode::Good, Mode::Full, Mode::Failing] {
         let site = site(2);
         let leaving = &site.replicas[0];
         leaving.set(mode);
-        tell(&site, leaving);
+        announce_leaving(&site, leaving);
         leaving.set(Mode::Good);
-        let told = leaving.arrivals().len();
+        let before = leaving.arrivals().len();
         send_many(&site, "after");
-        assert_eq!(leaving.arrivals().len(), told, "{mode:?}: more was sent to it");
+        assert_eq!(
+            leaving.arrivals().len(),
+            before,
+            "{mode:?}: the leaving target got more requests"
+        );
     }
 }
 
-/// Also in the head of a stream that runs on.
+/// The head of a streamed answer announces that the target leaves. The stream is completed.
 #[test]
-fn verify_what_runs_at_a_target_that_leaves_runs_on() {
+fn verify_requests_in_flight_at_a_leaving_target_are_completed() {
     let site = site(2);
     let leaving = &site.replicas[0];
-    // A full one would tell a load that is taken for true until it answers again.
+    // A pause ends by itself. A full target would report a load that the entry trusts until the
+    // target's next answer.
     site.replicas[1].set(Mode::Shed(300));
     leaving.set(Mode::Hold(2));
     leaving.leave();
     let addr = site.http(0);
     let caller = thread::spawn(move || ask("POST", "/stream/x", "held", "q").send(&addr));
-    wait_for("it runs", || leaving.runs().len() == 1);
+    wait_for("the request runs", || leaving.runs().len() == 1);
     site.replicas[1].set(Mode::Good);
-    wait_for("its word is known and the other one used again", || {
+    wait_for("the announcement is known and the other target usable again", || {
         let admin = site.entries[0].addr("admin");
         let usable = metric(&admin, "sablepass_targets", "state=\"usable\"");
         metric(&admin, "sablepass_targets_left_total", "") == 1.0 && usable == 1.0
@@ -82,26 +88,28 @@
     leaving.set(Mode::Good);
     let answer = caller.join().expect("the caller ends");
     assert_eq!((answer.status, answer.body), (200, replica::whole("held")));
-    assert_eq!(leaving.arrivals().len(), 1, "more was sent to it");
+    assert_eq!(leaving.arrivals().len(), 1, "the leaving target got more requests");
 }
 
-/// Leaving is true for all: the other entries are told, and one that starts later.
+/// One entry forwards an announcement to the others, and to an entry that starts later.
 #[test]
-fn verify_the_other_entries_are_told() {
+fn verify_an_announcement_is_forwarded_to_other_entries() {
     let mut site = site(2);
     site.add_entry("");
     site.settle(2);
     let leaving = site.replicas[0].clone();
-    wait_for("they know of each other", || site.status(0)["entries"].as_u64() == Some(2));
-    tell(&site, &leaving);
-    let left = |site: &Site, entry: usize| {
+    wait_for("the entries know each other", || site.status(0)["entries"].as_u64() == Some(2));
+    announce_leaving(&site, &leaving);
+    let targets_left = |site: &Site, entry: usize| {
         metric(&site.entries[entry].addr("admin"), "sablepass_targets_left_total", "")
     };
-    wait_for("the other one knows", || left(&site, 1) == 1.0);
+    wait_for("the other entry knows", || targets_left(&site, 1) == 1.0);
     let late = site.add_entry("");
-    wait_for("one that starts later knows", || left(&site, late) == 1.0);
-    wait_for("it is ready", || site.status(late)["revision"].as_u64() > Some(0));
-    let told = leaving.arrivals().len();
+    wait_for("an entry that starts later knows", || targets_left(&site, late) == 1.0);
+    wait_for("the later entry has a configuration", || {
+        site.status(late)["revision"].as_u64() > Some(0)
+    });
+    let before = leaving.arrivals().len();
     for entry in [1, late] {
         for number in 0..20 {
             let id = format!("other-{entry}-{number}");
@@ -109,44 +117,44 @@
             assert_eq!(answer.status, 200, "{answer:?}");
         }
     }
-    assert_eq!(leaving.arrivals().len(), told, "more was sent to it");
+    assert_eq!(leaving.arrivals().len(), before, "the leaving target got more requests");
 }
 
-/// Its entry in the list lapses, and one that says that it is ready is read later.
+/// The target's line expires, and is written again as ready by the same incarnation.
 #[test]
-fn verify_no_list_takes_the_word_back() {
+fn verify_the_instance_list_does_not_cancel_an_announcement() {
     let site = site(2);
     let leaving = &site.replicas[0];
-    tell(&site, leaving);
-    let told = leaving.arrivals().len();
+    announce_leaving(&site, leaving);
+    let before = leaving.arrivals().len();
     let admin = site.entries[0].addr("admin");
     let listed = || metric(&admin, "sablepass_targets", "state=\"listed\"");
     site.store.remove(&format!("servers/{}", leaving.id));
-    wait_for("it has lapsed", || listed() == 1.0);
+    wait_for("the line has expired", || listed() == 1.0);
     site.list(leaving, "ready");
-    wait_for("it is listed again", || listed() == 2.0);
+    wait_for("the target is listed again", || listed() == 2.0);
     send_many(&site, "again");
-    assert_eq!(leaving.arrivals().len(), told, "more was sent to it");
+    assert_eq!(leaving.arrivals().len(), before, "the leaving target got more requests");
 }
 
 #[test]
-fn verify_the_word_holds_for_one_life() {
+fn verify_an_announcement_ends_with_its_incarnation() {
     let mut site = site(2);
     let leaving = site.replicas[0].clone();
-    tell(&site, &leaving);
+    announce_leaving(&site, &leaving);
     leaving.end();
-    let next = leaving.reborn();
-    site.list(&next, "ready");
-    site.replicas[0] = next;
-    wait_for("its next life is used", || {
+    let restarted = leaving.reborn();
+    site.list(&restarted, "ready");
+    site.replicas[0] = restarted;
+    wait_for("the restarted target is used", || {
         send(&site, "safe", "again");
         !site.replicas[0].runs().is_empty()
     });
 }
 
-/// Connections kept for later requests have no use any more.
+/// An entry closes its idle connections to a leaving target.
 #[test]
-fn verify_kept_connections_to_it_are_closed() {
+fn verify_idle_connections_to_a_leaving_target_are_closed() {
     let site = site(1);
     let leaving = &site.replicas[0];
     let addr = site.http(0);
@@ -157,16 +165,17 @@
         })
         .collect();
     callers.into_iter().for_each(|it| drop(it.join()));
-    assert!(leaving.open_connections() > 0, "some are kept");
-    tell(&site, leaving);
-    let told = Instant::now();
-    wait_for("all are closed", || leaving.open_connections() == 0);
-    assert!(told.elapsed() < KEPT, "only when they would have been closed anyway");
+    assert!(leaving.open_connections() > 0, "the entry keeps idle connections");
+    announce_leaving(&site, leaving);
+    let announced_at = Instant::now();
+    wait_for("all connections are closed", || leaving.open_connections() == 0);
+    assert!(announced_at.elapsed() < MAX_CLOSE_TIME, "the connections were not closed early");
 }
 
-/// It concerns whoever sends to the target; a caller has nothing to do with it.
+/// The header that announces that a target leaves is meant for entries and is not forwarded to
+/// callers.
 #[test]
-fn verify_callers_do_not_see_it() {
+fn verify_callers_do_not_see_the_announcement() {
     let site = site(1);
     site.replicas[0].leave();
     let answer = send(&site, "safe", "q");
