--- a/crates/sablepass-stand/tests/asleep.rs
+++ b/crates/sablepass-stand/tests/asleep.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Machines beside targets that sleep for a while and wake: real entries and
-//! agents, with stand-ins for the targets. The judge is what the targets ran.
+//! Machines with an agent and a target, or entries, are suspended for a while and resume. The
+//! tests use real entries and agents with simulated targets, and check what the targets ran.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -14,105 +14,113 @@
 use sablepass_stand::replica::{Group, Mode};
 use sablepass_stand::site::{HOST, KEY, Site, ask};
 
-/// Targets, each with a machine of its own.
+/// Number of targets, each with a machine of its own.
 const MACHINES: usize = 3;
-/// Callers that ask at once.
+/// Number of concurrent callers.
 const CALLERS: usize = 12;
-/// Time in which all of them are answered while one machine sleeps: less than
-/// the five seconds that each of them has.
-const ANSWERED: Duration = Duration::from_millis(3_000);
+/// Time within which all callers must be answered while one machine is suspended: less than the
+/// five seconds of their deadlines.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(3_000);
 
-/// A caller that asks and is gone once its request has been sent on.
-fn ask_and_leave(site: &Site, id: &str) {
+/// Sends a request and closes the caller's connection once the entry has forwarded it.
+fn ask_and_disconnect(site: &Site, id: &str) {
     let before = site.replicas[0].connections();
     let mut stream = TcpStream::connect(site.http(0)).expect("the entry accepts");
     let head = format!(
         "POST /stream/x HTTP/1.1\r\nhost: {HOST}\r\nauthorization: Bearer {KEY}\r\n\
          x-request-id: {id}\r\nx-deadline-ms: 5000\r\ncontent-length: 1\r\n\r\n."
     );
-    stream.write_all(head.as_bytes()).expect("the request leaves");
-    wait_for("it is sent on", || site.replicas[0].connections() > before);
+    stream.write_all(head.as_bytes()).expect("the request is written");
+    wait_for("the entry forwards the request", || site.replicas[0].connections() > before);
 }
 
 #[test]
-fn verify_what_its_caller_left_is_not_begun_by_a_target_that_wakes() {
+fn verify_a_resumed_target_starts_no_request_of_a_disconnected_caller() {
     let mut site = Site::open(1);
     site.add_entry("");
     site.settle(1);
     site.replicas[0].set(Mode::Asleep);
     let admin = site.entries[0].addr("admin");
     for number in 0..4 {
-        ask_and_leave(&site, &format!("left-{number}"));
+        ask_and_disconnect(&site, &format!("left-{number}"));
     }
-    wait_for("the entry knows that they left", || {
+    wait_for("the entry sees that the callers disconnected", || {
         metric(&admin, "sablepass_refusals_total", "caller-gone") >= 4.0
     });
-    // Counted on the event loop, whose answer comes after all that was to be closed.
+    // The counter is updated on the event loop, which answers this status request only after it has
+    // closed the target connections of the disconnected callers.
     site.status(0);
     site.replicas[0].set(Mode::Good);
     let answer = ask("POST", "/stream/x", "stays", "").send(&site.http(0));
     assert_eq!(answer.status, 200, "{answer:?}");
     for number in 0..4 {
-        assert_eq!(site.runs(&format!("left-{number}")), 0, "caller {number} was gone");
+        assert_eq!(site.runs(&format!("left-{number}")), 0, "caller {number} had disconnected");
     }
 }
 
 #[test]
-fn verify_requests_leave_a_machine_that_sleeps() {
+fn verify_requests_are_moved_from_a_suspended_machine() {
     let Beside { site, agents, .. } = Beside::spawn(MACHINES);
     agents[0].pause();
     site.replicas[0].set(Mode::Asleep);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let ask = |number: usize| {
         let addr = site.http(0);
         thread::spawn(move || ask("POST", "/stream/x", &format!("s{number}"), "").send(&addr))
     };
     let callers: Vec<_> = (0..CALLERS).map(ask).collect();
-    for it in callers {
-        let answer = it.join().expect("the caller ends");
+    for caller in callers {
+        let answer = caller.join().expect("the caller ends");
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    assert!(began.elapsed() < ANSWERED, "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < MAX_ANSWER_TIME, "{:?}", started_at.elapsed());
     site.replicas[0].set(Mode::Good);
     agents[0].wake();
     for number in 0..CALLERS {
-        assert_eq!(site.runs(&format!("s{number}")), 1, "what was moved is not begun again");
+        assert_eq!(
+            site.runs(&format!("s{number}")),
+            1,
+            "the request was moved and must not run again"
+        );
     }
 }
 
-/// One of two groups stands at a step that is held. What comes goes to the other.
+/// One group is stalled: it is ready but runs no step. Requests go to the other group until it
+/// runs steps again.
 #[test]
-fn verify_work_goes_to_the_group_that_makes_steps() {
+fn verify_requests_go_to_the_group_that_runs_steps() {
     let Beside { site, agents: _agents, .. } = Beside::spawn(MACHINES);
     let group = |steps| Group { open: true, size: 1, steps };
     site.replicas[0].tell(group(false));
     site.replicas[1..].iter().for_each(|it| it.tell(group(true)));
-    let mut asked = 0;
+    let mut sent = 0;
     let mut next = || {
-        asked += 1;
-        ask("POST", "/stream/x", &format!("n{asked}"), "").send(&site.http(0));
+        sent += 1;
+        ask("POST", "/stream/x", &format!("n{sent}"), "").send(&site.http(0));
         site.replicas[0].runs().len()
     };
-    // Until this is known some go there; then none does, in twelve calls.
-    let known = |before: usize, next: &mut dyn FnMut() -> usize| (0..12).all(|_| next() == before);
-    wait_for("work leaves the group that stands", || {
+    // Some requests reach the stalled group until the entry knows its state. Afterwards none of
+    // twelve does.
+    let avoided =
+        |before: usize, next: &mut dyn FnMut() -> usize| (0..12).all(|_| next() == before);
+    wait_for("requests leave the stalled group", || {
         let before = next();
-        known(before, &mut next)
+        avoided(before, &mut next)
     });
     site.replicas[0].tell(group(true));
     let before = site.replicas[0].runs().len();
-    wait_for("work comes back once it goes on", || next() > before);
+    wait_for("requests return once the group runs steps", || next() > before);
 }
 
-/// An entry that sleeps past the time of what it holds: nothing of that is sent on
-/// once it wakes, and it serves what comes next.
+/// An entry is suspended until the deadlines of its queued requests have passed. When it resumes,
+/// it must forward none of them, and serve new requests.
 #[test]
-fn verify_an_entry_that_wakes_begins_nothing_whose_time_is_over() {
+fn verify_a_resumed_entry_forwards_no_request_past_its_deadline() {
     let Beside { mut site, agents: _agents, .. } = Beside::spawn(MACHINES);
-    let closed = Group { open: false, size: MACHINES as u32, steps: false };
-    site.replicas.iter().for_each(|it| it.tell(closed));
+    let not_ready = Group { open: false, size: MACHINES as u32, steps: false };
+    site.replicas.iter().for_each(|it| it.tell(not_ready));
     let admin = site.entries[0].addr("admin");
-    wait_for("the group is closed", || {
+    wait_for("the entry knows that the group is not ready", || {
         metric(&admin, "sablepass_targets", "state=\"usable\"") < 1.0
     });
     let ask = |id: String| {
@@ -124,16 +132,16 @@
     let callers: Vec<_> = (0..CALLERS).map(|it| ask(format!("late-{it}"))).collect();
     thread::sleep(Duration::from_millis(100));
     site.entries[0].pause();
-    let open = Group { open: true, ..closed };
-    site.replicas.iter().for_each(|it| it.tell(Group { steps: true, ..open }));
+    let ready = Group { open: true, ..not_ready };
+    site.replicas.iter().for_each(|it| it.tell(Group { steps: true, ..ready }));
     thread::sleep(Duration::from_millis(2_500));
     site.entries[0].wake();
     callers.into_iter().for_each(|it| drop(it.join()));
-    let begun = (0..CALLERS).filter(|it| site.runs(&format!("late-{it}")) > 0).count();
-    assert_eq!(begun, 0, "their callers are gone");
-    assert!(metric(&admin, "sablepass_sleeps_total", "") >= 1.0, "it knows that it slept");
+    let ran = (0..CALLERS).filter(|it| site.runs(&format!("late-{it}")) > 0).count();
+    assert_eq!(ran, 0, "requests ran after their deadlines");
+    assert!(metric(&admin, "sablepass_sleeps_total", "") >= 1.0, "the entry counts its suspension");
     let site = &mut site;
-    wait_for("it serves again", || {
+    wait_for("the entry serves new requests", || {
         let id = format!("next-{}", Instant::now().elapsed().as_nanos());
         sablepass_stand::site::ask("POST", "/stream/x", &id, "").send(&site.http(0)).status == 200
     });
