--- a/crates/sablepass-stand/tests/reborn.rs
+++ b/crates/sablepass-stand/tests/reborn.rs
@@ -1,8 +1,8 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Targets that start anew under the id that they had: a later life holds and
-//! knows nothing of the one before it, and neither does an entry.
+//! Targets restart under the same id. A new incarnation has no state of the earlier one, and
+//! entries must not apply to it what they know of the earlier one.
 
 use std::thread;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use sablepass_stand::replica::Mode;
 use sablepass_stand::site::{Site, ask};
 
-/// Ends a target that begins to run it.
+/// Body of a request that ends the target that starts to run it.
 const FATAL: &str = "ends whatever runs it";
 
 fn site(replicas: usize) -> Site {
@@ -29,45 +29,46 @@
     ask("POST", &format!("/{kind}/x"), id, body).send(&site.http(0))
 }
 
-/// Ends a replica and lists its next life in its place.
+/// Ends a replica and lists its next incarnation in its place.
 fn restart(site: &mut Site, index: usize) {
     site.replicas[index].end();
-    let next = site.replicas[index].reborn();
-    site.list(&next, "ready");
-    site.replicas[index] = next;
+    let restarted = site.replicas[index].reborn();
+    site.list(&restarted, "ready");
+    site.replicas[index] = restarted;
 }
 
-/// Leaving is for good, for one life.
+/// A target that left stays unused until it restarts.
 #[test]
-fn verify_a_target_that_left_is_used_in_its_next_life() {
+fn verify_a_target_that_left_is_used_after_its_restart() {
     let mut site = site(2);
     site.list(&site.replicas[0], "draining");
-    wait_for("it is not used", || usable(&site) == 1.0);
+    wait_for("the draining target is not used", || usable(&site) == 1.0);
     restart(&mut site, 0);
-    wait_for("it is used again", || usable(&site) == 2.0);
+    wait_for("the restarted target is used", || usable(&site) == 2.0);
     site.replicas[1].set(Mode::Full);
     let answer = send(&site, "safe", "next-life", "q");
     assert_eq!((answer.status, site.runs("next-life")), (200, 1));
 }
 
-/// A target that failed time after time is left alone; its next life is not.
+/// Entries back off from a target that failed repeatedly, but not from its next incarnation.
 #[test]
-fn verify_failures_are_those_of_one_life() {
+fn verify_failures_do_not_count_for_the_next_incarnation() {
     let mut site = site(3);
     site.replicas[0].set(Mode::Failing);
-    wait_for("it is left alone", || {
+    wait_for("the entry backs off from the failing target", || {
         send(&site, "safe", "q", "q");
         usable(&site) == 2.0
     });
     restart(&mut site, 0);
-    let began = std::time::Instant::now();
-    wait_for("its next life is used", || usable(&site) == 3.0);
-    assert!(began.elapsed() < Duration::from_millis(450), "{:?}", began.elapsed());
+    let restarted_at = std::time::Instant::now();
+    wait_for("the restarted target is used", || usable(&site) == 3.0);
+    assert!(restarted_at.elapsed() < Duration::from_millis(450), "{:?}", restarted_at.elapsed());
 }
 
-/// What was in flight in the last life ran at most once over all lives.
+/// A request that must not repeat, and was in flight when its target ended, is not sent to the
+/// next incarnation.
 #[test]
-fn verify_what_must_not_repeat_runs_once_over_all_lives() {
+fn verify_a_once_request_is_not_repeated_after_a_restart() {
     let mut site = site(1);
     for round in 0..8 {
         site.replicas[0].set(Mode::Hang);
@@ -77,18 +78,20 @@
             let id = id.clone();
             thread::spawn(move || ask("POST", "/once/x", &id, &id).send(&addr))
         };
-        wait_for("it runs", || site.runs(&id) == 1);
+        wait_for("the request runs", || site.runs(&id) == 1);
         restart(&mut site, 0);
         let answer = caller.join().expect("the caller ends");
         assert_eq!(answer.status, 502, "nothing proves that it did not run: {answer:?}");
-        assert_eq!(site.runs(&id), 0, "the next life ran it again");
-        wait_for("the next life serves", || send(&site, "safe", "s", "q").status == 200);
+        assert_eq!(site.runs(&id), 0, "the next incarnation ran the request again");
+        wait_for("the next incarnation serves requests", || {
+            send(&site, "safe", "s", "q").status == 200
+        });
     }
 }
 
-/// One id dies under the same request life after life.
+/// Each incarnation of one target ends under the same request; each end counts as evidence.
 #[test]
-fn verify_deaths_are_counted_by_life() {
+fn verify_deaths_are_counted_per_incarnation() {
     let mut site = site(1);
     let mut ended = 0;
     for round in 0..8 {
@@ -96,11 +99,11 @@
         send(&site, "once", &format!("fatal-{round}"), FATAL);
         if site.replicas[0].ended() {
             ended += 1;
-            let next = site.replicas[0].reborn();
-            site.list(&next, "ready");
-            site.replicas[0] = next;
+            let restarted = site.replicas[0].reborn();
+            site.list(&restarted, "ready");
+            site.replicas[0] = restarted;
         }
-        wait_for("sound ones are served", || send(&site, "safe", "s", "q").status == 200);
+        wait_for("harmless requests are served", || send(&site, "safe", "s", "q").status == 200);
     }
-    assert_eq!(ended, 2, "two deaths in turn are proof");
+    assert_eq!(ended, 2, "the request is refused after two consecutive deaths");
 }
