--- a/crates/sablepass-stand/tests/listed.rs
+++ b/crates/sablepass-stand/tests/listed.rs
@@ -1,18 +1,20 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What entries that do not read the store themselves learn of the list from those that do.
+//! Entries that don't read the store receive changes of the instance list from those that do.
 
 use sablepass_stand::client::{metric, wait_for};
 use sablepass_stand::keys;
 use sablepass_stand::site::Site;
 
+/// Number of entries, of which only some read the store.
 const ENTRIES: usize = 5;
 
-/// Targets go while the store is away, and its history with them: whoever reads it reads all
-/// of it, and what differs from what the others hold is that something is gone.
+/// A target is removed while the store is unavailable, and the store loses its history, so that
+/// the entries that read it read the whole list. No event tells of the removal: it shows only as a difference
+/// from the list that the other entries have.
 #[test]
-fn verify_all_entries_learn_what_is_gone_from_a_read_of_everything() {
+fn verify_all_entries_apply_removals_found_by_a_full_read() {
     let mut site = Site::open(4);
     for _ in 0..ENTRIES {
         site.add_entry("");
@@ -21,19 +23,21 @@
     let listed = |site: &Site, entry: usize| {
         metric(&site.entries[entry].addr("admin"), "sablepass_targets", "state=\"listed\"")
     };
-    for left in [3, 2] {
+    for remaining in [3, 2] {
         site.store.set(keys::Mode::Down);
-        site.store.remove(&format!("servers/{}", site.replicas[left].id));
+        site.store.remove(&format!("servers/{}", site.replicas[remaining].id));
         site.store.forget();
         site.store.set(keys::Mode::Up);
         for entry in 0..ENTRIES {
-            wait_for("an entry knows what is left", || listed(&site, entry) == left as f64);
+            wait_for("the entry lists the remaining targets", || {
+                listed(&site, entry) == remaining as f64
+            });
         }
     }
     let added = site.add_replica("orders");
     site.store.forget();
     for entry in 0..ENTRIES {
-        wait_for("an entry knows what came", || listed(&site, entry) == 3.0);
+        wait_for("the entry lists the added target", || listed(&site, entry) == 3.0);
     }
     assert_eq!(added, 4);
 }
