--- a/crates/sablepass-stand/tests/told.rs
+++ b/crates/sablepass-stand/tests/told.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What targets without agents tell of their load with their answers.
+//! Entries use the load that targets without agents report in their answers.
 
 use std::time::{Duration, Instant};
 
@@ -13,8 +13,9 @@
     ask("POST", &format!("/{kind}/x"), id, "q").send(&site.http(0))
 }
 
-/// All targets said that they are full, and then have room again. Whoever waits for them
-/// to say so sends nothing and is told nothing.
+/// All targets reported that they are full, and then have capacity again. Load reports arrive
+/// only with answers, so that an entry that waited for a new report before it sent a request
+/// would never get one.
 #[test]
 fn verify_targets_that_were_full_are_used_again() {
     for kind in ["safe", "once", "stream"] {
@@ -26,8 +27,12 @@
             send(&site, kind, &format!("full-{number}"));
         }
         site.replicas.iter().for_each(|it| it.set(Mode::Good));
-        let room = Instant::now();
-        wait_for("they are used again", || send(&site, kind, "again").status == 200);
-        assert!(room.elapsed() < Duration::from_secs(2), "{kind}: {:?}", room.elapsed());
+        let capacity_since = Instant::now();
+        wait_for("the targets are used again", || send(&site, kind, "again").status == 200);
+        assert!(
+            capacity_since.elapsed() < Duration::from_secs(2),
+            "{kind}: {:?}",
+            capacity_since.elapsed()
+        );
     }
 }
