--- a/crates/sablepass-agent/src/notices.rs
+++ b/crates/sablepass-agent/src/notices.rs
@@ -91,10 +91,11 @@
         };
         match self.notices.on_answer(now, notice.sent, named) {
             Change::None => return,
-            Change::Set(rate) => slog::info!(self.log, "limit set"; "limit" => rate.per_second(),
-                "request" => %attempt.request, "attempt" => attempt.number),
-            Change::Ended => slog::info!(self.log, "limit ended"; "request" => %attempt.request,
+            Change::Set(rate) => slog::info!(self.log, "target limit set";
+                "limit" => rate.per_second(), "request" => %attempt.request,
                 "attempt" => attempt.number),
+            Change::Ended => slog::info!(self.log, "target limit ended";
+                "request" => %attempt.request, "attempt" => attempt.number),
         }
         self.report();
     }
--- a/crates/sablepass-entry/src/ticks.rs
+++ b/crates/sablepass-entry/src/ticks.rs
@@ -20,7 +20,7 @@
     pub(crate) fn tick(&mut self, cx: CX![]) {
         let now = clock::now();
         if let Some(suspended_ms) = self.suspension_detector.check(now) {
-            slog::warn!(self.log, "process was suspended"; "for" => suspended_ms,
+            slog::warn!(self.log, "process resumed after a suspension"; "for" => suspended_ms,
                 "requests" => self.requests.len());
             self.metrics.sleeps.inc();
             self.targets.resumed(now);
