--- a/crates/sablepass-core/src/membership.rs
+++ b/crates/sablepass-core/src/membership.rs
@@ -88,7 +88,7 @@
     /// Identifies the target's group among those of its service.
     pub group: u32,
     /// The group is stalled: it runs no step although there is work.
-    pub stands: bool,
+    pub stalled: bool,
     /// The target refuses its agent's connections.
     pub refuses: bool,
     /// Entries connected to the agent; 0 if not reported.
@@ -383,7 +383,7 @@
     /// Targets whose group was reported recently as stalled.
     pub fn stalled(&self, now: Millis) -> impl Iterator<Item = &String> {
         let stalled = move |it: &Member| {
-            it.report.stands && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY
+            it.report.stalled && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY
         };
         self.members.iter().filter(move |it| stalled(it.1)).map(|it| it.0)
     }
--- a/crates/sablepass-core/tests/membership.rs
+++ b/crates/sablepass-core/tests/membership.rs
@@ -17,7 +17,7 @@
         lag: 0,
         entries: 1,
         group: 0,
-        stands: false,
+        stalled: false,
         refuses: false,
         rest: 0,
         limit: None,
--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -178,7 +178,7 @@
         lag: message.lag,
         entries: message.entries,
         group: message.group,
-        stands: message.stands,
+        stalled: message.stands,
         refuses: message.refuses,
         rest: message.rest,
         limit: notices::rate("report", message.limit)?,
