--- a/crates/sablepass-core/src/membership.rs
+++ b/crates/sablepass-core/src/membership.rs
@@ -94,7 +94,7 @@
     /// Entries connected to the agent; 0 if not reported.
     pub entries: u32,
     /// Remaining time of the pause that the target requested.
-    pub rest: Millis,
+    pub pause: Millis,
     /// Rate that the target accepts from all entries together, if it announces a limit to its
     /// agent.
     pub limit: Option<Rate>,
@@ -271,7 +271,7 @@
         member.last_alive = now.saturating_sub(report.engine_age.unwrap_or(0));
         if member.source == Source::Heartbeats {
             // The pause was requested from the agent, which observes it by itself.
-            member.backed_off_until = now.saturating_add(report.rest);
+            member.backed_off_until = now.saturating_add(report.pause);
         }
         member.refusing_since = report.refuses.then(|| member.refusing_since.unwrap_or(now));
         member.report = report;
--- a/crates/sablepass-core/tests/membership.rs
+++ b/crates/sablepass-core/tests/membership.rs
@@ -19,7 +19,7 @@
         group: 0,
         stalled: false,
         refuses: false,
-        rest: 0,
+        pause: 0,
         limit: None,
         engine_age: None,
     }
--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -180,7 +180,7 @@
         group: message.group,
         stalled: message.stands,
         refuses: message.refuses,
-        rest: message.rest,
+        pause: message.rest,
         limit: notices::rate("report", message.limit)?,
         // The agent of a plain service has no load reading of an engine and sends the maximum age.
         engine_age: (message.load_age != u32::MAX).then_some(message.load_age.into()),
