--- a/crates/sablepass-agent/src/memory.rs
+++ b/crates/sablepass-agent/src/memory.rs
@@ -24,7 +24,7 @@
         for (request, death) in report.deaths {
             self.suspects.record(now, request, death);
         }
-        for request in report.sound {
+        for request in report.completed {
             self.suspects.clear(now, request);
         }
         Ok(())
@@ -34,7 +34,7 @@
     /// blocked.
     pub fn message(&self, now: Millis) -> Option<Body> {
         let blocked = self.suspects.blocked(now).map(|(it, death)| (it, death.clone()));
-        let report = Evidence { deaths: blocked.collect(), sound: Vec::new() };
+        let report = Evidence { deaths: blocked.collect(), completed: Vec::new() };
         (!report.is_empty()).then(|| report.body())
     }
 }
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -109,10 +109,10 @@
     /// Removes the next message to the other entries from the records that wait to be sent.
     fn next_message(&mut self) -> Option<Evidence> {
         let deaths = self.unsent.deaths.len().min(MAX_BATCH);
-        let sound = self.unsent.sound.len().min(MAX_BATCH);
+        let completed = self.unsent.completed.len().min(MAX_BATCH);
         let message = Evidence {
             deaths: self.unsent.deaths.drain(..deaths).collect(),
-            sound: self.unsent.sound.drain(..sound).collect(),
+            completed: self.unsent.completed.drain(..completed).collect(),
         };
         Some(message).filter(|it| !it.is_empty())
     }
@@ -144,7 +144,7 @@
 
 fn deaths_message<'a>(deaths: impl Iterator<Item = (Fingerprint, &'a Death)>) -> Evidence {
     let deaths = deaths.map(|(it, death)| (it, death.clone()));
-    Evidence { deaths: deaths.collect(), sound: Vec::new() }
+    Evidence { deaths: deaths.collect(), completed: Vec::new() }
 }
 
 impl Router {
@@ -223,7 +223,7 @@
         for (fingerprint, death) in records.deaths {
             self.record_death(cx, fingerprint, death, Some(peer));
         }
-        for fingerprint in records.sound {
+        for fingerprint in records.completed {
             self.clear_suspect(fingerprint);
         }
     }
@@ -359,8 +359,8 @@
     /// Logs that a request is cleared and adds it to the records for the other entries.
     fn announce_cleared(&mut self, fingerprint: Fingerprint) {
         slog::info!(self.log, "request no longer suspected"; "fingerprint" => %fingerprint);
-        if self.watch.unsent.sound.len() < MAX_BACKLOG {
-            self.watch.unsent.sound.push(fingerprint);
+        if self.watch.unsent.completed.len() < MAX_BACKLOG {
+            self.watch.unsent.completed.push(fingerprint);
         }
     }
 
--- a/crates/sablepass-wire/src/suspects.rs
+++ b/crates/sablepass-wire/src/suspects.rs
@@ -18,13 +18,13 @@
     /// Ends of targets, each with a request that the target was running.
     pub deaths: Vec<(Fingerprint, Death)>,
     /// Requests that completed successfully at a target.
-    pub sound: Vec<Fingerprint>,
+    pub completed: Vec<Fingerprint>,
 }
 
 impl Evidence {
     /// Returns whether the message would be empty.
     pub fn is_empty(&self) -> bool {
-        self.deaths.is_empty() && self.sound.is_empty()
+        self.deaths.is_empty() && self.completed.is_empty()
     }
 
     /// Builds the message.
@@ -38,7 +38,7 @@
         };
         Body::Suspects(wire::Suspects {
             deaths: self.deaths.iter().map(death).collect(),
-            sound: self.sound.iter().copied().map(bytes).collect(),
+            sound: self.completed.iter().copied().map(bytes).collect(),
         })
     }
 
@@ -46,8 +46,9 @@
     /// was sent.
     pub fn parse(message: wire::Suspects) -> Result<Self, Error> {
         let deaths: Result<Vec<_>, Error> = message.deaths.into_iter().map(parse_death).collect();
-        let sound: Result<Vec<_>, Error> = message.sound.iter().map(|it| fingerprint(it)).collect();
-        Ok(Self { deaths: deaths?, sound: sound? })
+        let completed: Result<Vec<_>, Error> =
+            message.sound.iter().map(|it| fingerprint(it)).collect();
+        Ok(Self { deaths: deaths?, completed: completed? })
     }
 }
 
