--- a/crates/sablepass-entry/src/notices.rs
+++ b/crates/sablepass-entry/src/notices.rs
@@ -47,24 +47,24 @@
         status: u16,
         meta: &Meta,
     ) {
-        let (asked, rest) = match meta.pause {
+        let (asked, pause) = match meta.pause {
             Pause::None => ("nothing", None),
             Pause::For(duration) => ("rest", Some(duration)),
             Pause::Unread => ("unread", None),
         };
         self.metrics.turned_away.with_label_values(&[asked]).inc();
         let begins =
-            rest.is_some_and(|duration| self.targets.record_pause(now, incarnation, duration));
+            pause.is_some_and(|duration| self.targets.record_pause(now, incarnation, duration));
         self.traces.add(
             now,
             carried.request,
-            Step::TurnedAway { target: incarnation.name.to_owned(), rest },
+            Step::TurnedAway { target: incarnation.name.to_owned(), pause },
         );
         let label = self.requests.get(&carried.request).map(|it| it.run.label.as_str());
         slog::info!(self.log, "target rejected a request"; "id" => label,
             "target" => incarnation.name, "born" => incarnation.started_at,
             "attempt" => carried.attempt, "status" => status,
-            "not_run" => meta.proof == Proof::NotRun, "asked" => asked, "rest" => rest,
+            "not_run" => meta.proof == Proof::NotRun, "asked" => asked, "rest" => pause,
             "begins" => begins, "load" => ?meta.load);
     }
 
--- a/crates/sablepass-entry/src/trace.rs
+++ b/crates/sablepass-entry/src/trace.rs
@@ -38,7 +38,7 @@
         /// Qualified target.
         target: String,
         /// Pause that the target requested from this entry.
-        rest: Option<Millis>,
+        pause: Option<Millis>,
     },
     /// All possible targets receive requests at their limits; the request was given a turn at one.
     Turn {
@@ -105,8 +105,8 @@
         Step::TargetEnded { target } => {
             serde_json::json!({ "at": at, "step": "target-ended", "target": target })
         }
-        Step::TurnedAway { target, rest } => serde_json::json!({
-            "at": at, "step": "turned-away", "target": target, "rest": rest,
+        Step::TurnedAway { target, pause } => serde_json::json!({
+            "at": at, "step": "turned-away", "target": target, "rest": pause,
         }),
         Step::Turn { target, wait } => {
             serde_json::json!({ "at": at, "step": "turn", "target": target, "wait": wait })
