--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -139,7 +139,7 @@
 
     // Sending.
 
-    /// Sends a request to a target, unless it is refused as a suspect or its start is deferred.
+    /// Sends a request to a target, unless it is blocked as a suspect or its start is deferred.
     pub(crate) fn dispatch(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
         if !self.refuse_if_blocked(cx, now, id) && !self.defer_start(cx, now, id) {
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Sets the retry delay for the caller of a request that may not be sent now, as a suspect.
+    /// Sets the retry delay for the caller of a request that is blocked, or is suspected and paused.
     /// Returns false if the request may be sent.
     fn set_retry_delay(&mut self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id) else { return false };
@@ -314,7 +314,8 @@
         }
     }
 
-    /// Refuses a request that may not be sent now, as a suspect. Returns whether it was refused.
+    /// Refuses a request that is blocked, or is suspected and paused. Returns whether it was
+    /// refused.
     pub(crate) fn refuse_if_blocked(&mut self, cx: CX![], now: Millis, id: RequestId) -> bool {
         if self.watch.suspects.is_empty() || !self.set_retry_delay(now, id) {
             return false;
