--- a/crates/sablepass-agent/src/group.rs
+++ b/crates/sablepass-agent/src/group.rs
@@ -466,14 +466,15 @@
         if !skews.is_empty() {
             self.metrics.skew.set(mean);
         }
-        let near = |index: &usize| *index == usize::from(self.config.own_index);
-        let reached = |index: usize| near(&index) || self.connections.contains_key(&(index as u8));
+        let is_self = |index: &usize| *index == usize::from(self.config.own_index);
+        let is_reachable =
+            |index: usize| is_self(&index) || self.connections.contains_key(&(index as u8));
         let away: Vec<&String> = self
             .config
             .members
             .iter()
             .enumerate()
-            .filter(|(index, _)| !reached(*index))
+            .filter(|(index, _)| !is_reachable(*index))
             .map(|it| it.1)
             .collect();
         json!({
