--- a/crates/sablepass-agent/src/keeper.rs
+++ b/crates/sablepass-agent/src/keeper.rs
@@ -143,7 +143,7 @@
         Some(keeper)
     }
 
-    // Other processes.
+    // Connections to entries and other agents.
 
     /// Handles an event of the mesh.
     pub fn mesh_event(&mut self, cx: CX![], event: mesh::Event) {
@@ -151,8 +151,8 @@
             mesh::Event::Up(peer, it) if it.role == "entry" && it.dialled.is_none() => {
                 self.entries.up(peer, it.name);
                 self.report();
-                let held = self.suspects.message(clock::now());
-                held.into_iter().for_each(|it| self.send(Some(peer), it));
+                let blocked = self.suspects.message(clock::now());
+                blocked.into_iter().for_each(|it| self.send(Some(peer), it));
             }
             mesh::Event::Up(peer, it) => self.on_agent_connected(peer, it.name),
             mesh::Event::Down(peer) => self.down(peer),
