--- a/crates/sablepass-agent/src/main.rs
+++ b/crates/sablepass-agent/src/main.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! The agent of a target, on the target's machine. For a gated target, every dispatch passes
-//! the agent's [`gate`], and each admitted one runs on the target from a thread of its own. For
+//! the agent's [`gate`], and each admitted one runs on the target from its own thread. For
 //! a direct target, to which entries send requests over HTTP, the agent only observes it.
 //!
 //! [`gate`]: sablepass_core::gate
