--- a/crates/sablepass-agent/src/member.rs
+++ b/crates/sablepass-agent/src/member.rs
@@ -32,16 +32,16 @@
         if self.group.as_ref().is_some_and(|it| it.has_declaration(declared)) {
             return;
         }
-        let checks = catalogue.targets.get(name).is_some_and(|it| it.resource.checks_fence);
+        let checks_fence = catalogue.targets.get(name).is_some_and(|it| it.resource.checks_fence);
         let orders = Orders::spawn(&self.settings.target, self.fence, self.engine.clone());
         let telemetry = (self.log.clone(), self.metrics.clone());
-        match Group::open(clock::now(), declared, name, checks, orders, telemetry) {
+        match Group::open(clock::now(), declared, name, checks_fence, orders, telemetry) {
             Ok(mut group) => {
                 for (peer, name) in &self.agents {
                     group.up(name, *peer);
                 }
-                let wanted = group.peers().into_iter().map(RequiredPeer::Named).collect();
-                call!([self.mesh], require_peers(wanted));
+                let required = group.peers().into_iter().map(RequiredPeer::Named).collect();
+                call!([self.mesh], require_peers(required));
                 self.group = Some(group);
             }
             Err(reason) => {
