--- a/crates/sablepass-edge/src/spread.rs
+++ b/crates/sablepass-edge/src/spread.rs
@@ -573,8 +573,8 @@
         Duration::from_millis(wait)
     }
 
-    /// Whether this process replicates a store. Agents beside listed targets need little of the
-    /// declarations, which may be large and change often; entries send them that part.
+    /// Whether this process replicates a store. Agents of listed targets need only a small part of
+    /// the declarations, which may be large and change often; entries send them that part.
     fn is_replicated(&self, kind: StoreKind) -> bool {
         !matches!(
             (self.node.form, self.role, kind),
