--- a/crates/sablepass-entry/src/settings.rs
+++ b/crates/sablepass-entry/src/settings.rs
@@ -1,7 +1,7 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! Settings of an entry, read from its file at the start and again at a reload signal.
+//! Settings of an entry, read from its file at start-up and again on SIGHUP.
 
 use std::net::SocketAddr;
 
