--- a/crates/sablepass-entry/src/targets/listing.rs
+++ b/crates/sablepass-entry/src/targets/listing.rs
@@ -31,7 +31,7 @@
     pub gone: Vec<String>,
     /// Targets that restarted under the same name.
     pub restarted: Vec<String>,
-    /// Restarted targets whose previous incarnation had a pause that was not over.
+    /// Restarted targets whose previous incarnation had a pause that had not expired.
     pub pauses_ended: Vec<String>,
     /// Whether the list was restored from a backup.
     pub restored: bool,
@@ -44,7 +44,7 @@
 }
 
 impl Targets {
-    /// Start time of a target's current incarnation; 0 if the list does not tell.
+    /// Start time of a target's current incarnation; 0 if unknown.
     pub fn started_at(&self, name: &str) -> Millis {
         self.listed.get(name).map_or(0, |it| it.instance.born)
     }
