--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -54,8 +54,8 @@
     Ok(AttemptId { request, number })
 }
 
-/// Reads a dispatch as the input of the agent's gate. An empty key and an issue time of 0 mean
-/// that there is none.
+/// Reads a dispatch as the input of the agent's gate. An empty key means that the request has no
+/// idempotency key, and an issue time of 0 that the key's creation time is not stated.
 pub fn dispatch(message: &wire::Dispatch) -> Result<gate::Dispatch, Error> {
     let key = (!message.key.is_empty())
         .then(|| Key { customer: message.customer.clone(), text: message.key.clone() });
