--- a/crates/sablepass-core/src/membership.rs
+++ b/crates/sablepass-core/src/membership.rs
@@ -88,13 +88,13 @@
     /// Identifies the target's group among those of its service.
     pub group: u32,
     /// The group is stalled: it runs no step although there is work.
-    pub stands: bool,
+    pub stalled: bool,
     /// The target refuses its agent's connections.
     pub refuses: bool,
     /// Entries connected to the agent; 0 if not reported.
     pub entries: u32,
     /// Remaining time of the pause that the target requested.
-    pub rest: Millis,
+    pub pause: Millis,
     /// Rate that the target accepts from all entries together, if it announces a limit to its
     /// agent.
     pub limit: Option<Rate>,
@@ -271,7 +271,7 @@
         member.last_alive = now.saturating_sub(report.engine_age.unwrap_or(0));
         if member.source == Source::Heartbeats {
             // The pause was requested from the agent, which observes it by itself.
-            member.backed_off_until = now.saturating_add(report.rest);
+            member.backed_off_until = now.saturating_add(report.pause);
         }
         member.refusing_since = report.refuses.then(|| member.refusing_since.unwrap_or(now));
         member.report = report;
@@ -383,7 +383,7 @@
     /// Targets whose group was reported recently as stalled.
     pub fn stalled(&self, now: Millis) -> impl Iterator<Item = &String> {
         let stalled = move |it: &Member| {
-            it.report.stands && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY
+            it.report.stalled && now.saturating_sub(it.heartbeat_at) < REPORT_VALIDITY
         };
         self.members.iter().filter(move |it| stalled(it.1)).map(|it| it.0)
     }
--- a/crates/sablepass-core/tests/membership.rs
+++ b/crates/sablepass-core/tests/membership.rs
@@ -17,9 +17,9 @@
         lag: 0,
         entries: 1,
         group: 0,
-        stands: false,
+        stalled: false,
         refuses: false,
-        rest: 0,
+        pause: 0,
         limit: None,
         engine_age: None,
     }
--- a/crates/sablepass-wire/src/convert.rs
+++ b/crates/sablepass-wire/src/convert.rs
@@ -54,8 +54,8 @@
     Ok(AttemptId { request, number })
 }
 
-/// Reads a dispatch as the input of the agent's gate. An empty key and an issue time of 0 mean
-/// that there is none.
+/// Reads a dispatch as the input of the agent's gate. An empty key means that the request has no
+/// idempotency key, and an issue time of 0 that the key's creation time is not stated.
 pub fn dispatch(message: &wire::Dispatch) -> Result<gate::Dispatch, Error> {
     let key = (!message.key.is_empty())
         .then(|| Key { customer: message.customer.clone(), text: message.key.clone() });
@@ -178,9 +178,9 @@
         lag: message.lag,
         entries: message.entries,
         group: message.group,
-        stands: message.stands,
+        stalled: message.stands,
         refuses: message.refuses,
-        rest: message.rest,
+        pause: message.rest,
         limit: notices::rate("report", message.limit)?,
         // The agent of a plain service has no load reading of an engine and sends the maximum age.
         engine_age: (message.load_age != u32::MAX).then_some(message.load_age.into()),
