--- a/crates/sablepass-stand/tests/leaving_table.rs
+++ b/crates/sablepass-stand/tests/leaving_table.rs
@@ -163,7 +163,8 @@
         (!late.is_empty()).then(|| format!("{:?} {:?}: {late:?}", it.way, it.moment))
     };
     let failures: Vec<String> = departures.iter().filter_map(failures).collect();
-    let used = |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAIN_LIMIT_MS > test_end);
+    let used =
+        |it: &&Replica| it.arrivals().last().is_some_and(|it| it.at + DRAIN_LIMIT_MS > test_end);
     let used = staying.iter().filter(used).count();
     running.end();
     assert!(failures.is_empty(), "{fault:?}: {failures:#?}");
--- a/crates/sablepass-stand/tests/ranks.rs
+++ b/crates/sablepass-stand/tests/ranks.rs
@@ -89,7 +89,11 @@
 
     /// Asserts that no step started with two maps.
     fn check_steps(&self) {
-        assert_eq!(self.group.inconsistent_steps(), Vec::<u64>::new(), "steps started with two maps");
+        assert_eq!(
+            self.group.inconsistent_steps(),
+            Vec::<u64>::new(),
+            "steps started with two maps"
+        );
     }
 }
 
