--- a/crates/sablepass-entry/src/answers.rs
+++ b/crates/sablepass-entry/src/answers.rs
@@ -1,26 +1,26 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a router answers to operators: readiness, status, a request's story.
+//! The router's answers to queries at the admin address: readiness, status and request traces.
 
 use sablepass_core::revision::Revision;
-use sablepass_edge::admin::{self, Ask};
+use sablepass_edge::admin::{self, Subject};
 use sablepass_edge::clock;
 use stakker::{CX, call, ret_some_do};
 
 use crate::router::Router;
 
 impl Router {
-    /// Answers an operator's query.
+    /// Answers a query of the admin server.
     pub fn query(&mut self, _cx: CX![], query: admin::Query) {
-        let reply = match &query.ask {
-            Ask::Ready => self.ready(),
-            Ask::Request(id) => match self.traces.explain(id) {
-                Some(it) => admin::Reply::ok(&it),
+        let reply = match &query.subject {
+            Subject::Ready => self.ready(),
+            Subject::Request(id) => match self.traces.explain(id) {
+                Some(trace) => admin::Reply::ok(&trace),
                 None => admin::Reply::missing("request"),
             },
-            Ask::Group(_) => admin::Reply::missing("group; ask an agent of the group"),
-            Ask::Status => {
+            Subject::Group(_) => admin::Reply::missing("group; ask an agent of the group"),
+            Subject::Status => {
                 self.status(query.reply);
                 return;
             }
@@ -30,27 +30,28 @@
 
     fn ready(&self) -> admin::Reply {
         let revision = self.targets.catalogue().revision;
-        let ready = revision > Revision::default() && self.stopping.is_none();
+        let ready = revision > Revision::default() && self.stopping_since.is_none();
         let json =
             serde_json::json!({ "ready": ready, "era": revision.era, "revision": revision.number })
                 .to_string();
         admin::Reply { status: if ready { 200 } else { 503 }, json }
     }
 
-    fn status(&self, reply: admin::Asker) {
+    /// Sends the status of this entry, merged with that of the mesh, which answers asynchronously.
+    fn status(&self, reply: admin::Responder) {
         let now = clock::now();
         let members = self.targets.members();
         let targets: Vec<serde_json::Value> = members
             .iter()
-            .map(|(name, it)| {
+            .map(|(name, member)| {
                 serde_json::json!({
                     "target": name, "usable": members.usable(now, name).is_some(),
-                    "leaving": it.leaving, "in_flight": it.report.in_flight, "own": it.own,
-                    "silent_ms": now.saturating_sub(it.heartbeat_at),
+                    "leaving": member.leaving, "in_flight": member.report.in_flight, "own": member.own,
+                    "silent_ms": now.saturating_sub(member.heartbeat_at),
                 })
             })
             .collect();
-        let requests = self.open.len();
+        let requests = self.requests.len();
         let connections = self.pool.len();
         let entries = self.targets.sharers().count();
         let suspects = self.watch.status(now);
--- a/crates/sablepass-entry/src/router.rs
+++ b/crates/sablepass-entry/src/router.rs
@@ -1,8 +1,9 @@
 // Copyright the sablepass authors.
 // SPDX-License-Identifier: Apache-2.0
 
-//! The actor that owns an entry's requests: it admits, chooses, sends, and
-//! does what each request's state machine says.
+//! The main actor of an entry. It owns the requests in progress, chooses their targets, sends them
+//! and carries out the actions that each request's state machine returns. `main` starts it; other
+//! modules of this crate add the parts that face callers, targets, agents and operators.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -23,73 +24,76 @@
 use sablepass_edge::mesh::Mesh;
 use sablepass_edge::server::{ExchangeKey, Part, Server};
 use sablepass_edge::telemetry::Metrics;
-use sablepass_edge::unread::Unread;
+use sablepass_edge::unread::UnreadFields;
 use sablepass_wire::convert;
 use sablepass_wire::generated as wire;
 use sablepass_wire::generated::frame::Body;
 use slog::Logger;
 use stakker::{ActorOwn, CX, call, fwd_to};
 
-use crate::open::Open;
+use crate::open::OpenRequest;
 use crate::openai;
 use crate::pool::{ConnectionKey, Destination, Pool};
 use crate::settings::Settings;
-use crate::suspects::Watch;
+use crate::suspects::SuspectTracker;
 use crate::targets::{self, Choice, Served, Targets, Via};
 use crate::trace::{Step, Traces};
-use crate::turns::Turns;
+use crate::turns::PeerTurns;
 
-/// How long a request waits for a connection to the owner of its key.
+/// Maximum time that a request waits for a connection to the target that owns its idempotency key.
 const OWNER_WAIT: Millis = 2_000;
-/// How long a stream that has begun waits for a target that can go on with it.
-/// Callers give up a stream that is silent for two seconds or more.
+/// Maximum time that a started stream waits for a target that can continue it. Callers close
+/// streams that deliver nothing for two seconds or more.
 pub(crate) const RESUME_WAIT: Millis = 1_700;
-/// Over how long callers come back who were refused while all targets rest, so that
-/// they do not come as one: some tenths of a second, in which streams begin and are spread.
-const COME_BACK_SPREAD: Millis = 200;
-/// Requests that wait so, for each place of this entry's part of the service. A group
-/// opens on its first map, which is far from even, and what waited begins at once: with more,
-/// those late would make the next ones late as well.
-const FORM_PART: f64 = 0.5;
+/// Upper bound of the random addition to the retry-after time of callers that are refused while all
+/// targets are paused, so that they do not all retry at once. Streams start and spread over the
+/// targets within tenths of a second.
+const MAX_RETRY_AFTER_SPREAD: Millis = 200;
+/// Maximum number of requests that wait for a group to become ready, as a fraction of this entry's
+/// share of the service's capacity. A group starts with its first expert map, which balances the
+/// load poorly, and all waiting requests start at once: with more of them, their delays would
+/// delay the following requests as well.
+const MAX_WAITING_FRACTION: f64 = 0.5;
 
-/// The actor.
+/// The main actor of an entry.
 pub struct Router {
     pub(crate) settings: Settings,
-    pub(crate) file: PathBuf,
+    pub(crate) settings_file: PathBuf,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) mesh: ActorOwn<Mesh>,
     pub(crate) targets: Targets,
     pub(crate) admission: Admission,
     pub(crate) options: openai::Options,
-    /// A retry budget a service.
-    pub(crate) budgets: HashMap<Served, Budget>,
-    pub(crate) open: HashMap<RequestId, Open>,
+    /// Retry budget of each service.
+    pub(crate) retry_budgets: HashMap<Served, Budget>,
+    pub(crate) requests: HashMap<RequestId, OpenRequest>,
     pub(crate) exchanges: HashMap<ExchangeKey, RequestId>,
-    /// Streams that wait to begin, by service.
-    pub(crate) starts: HashMap<Served, StartQueue>,
+    /// Streams that wait to be started, by service.
+    pub(crate) start_queues: HashMap<Served, StartQueue>,
     pub(crate) pool: Pool,
     pub(crate) traces: Traces,
-    /// Requests that end their targets.
-    pub(crate) watch: Watch,
-    /// What other entries said of turns at targets with limits.
-    pub(crate) turns: Turns,
-    /// Fields of answers that nobody reads.
-    pub(crate) unread: Unread,
+    /// Requests suspected of terminating their targets.
+    pub(crate) watch: SuspectTracker,
+    /// Next turns that other entries reported for targets with limits.
+    pub(crate) turns: PeerTurns,
+    /// Header fields of answers that this program does not interpret.
+    pub(crate) unread: UnreadFields,
     pub(crate) rng: StdRng,
     pub(crate) server: ActorOwn<Server>,
-    pub(crate) stopping: Option<Millis>,
-    /// Notices that this process did not run for a while.
-    pub(crate) sleep: clock::Sleep,
-    /// The last answer is written and the process about to end.
-    pub(crate) ending: bool,
+    /// When the graceful shutdown started.
+    pub(crate) stopping_since: Option<Millis>,
+    /// Detects that this process was suspended.
+    pub(crate) suspension_detector: clock::SuspensionDetector,
+    /// Whether the last answer was sent and the process is about to exit.
+    pub(crate) shutting_down: bool,
 }
 
 impl Router {
-    /// Starts with no configuration and no connections.
+    /// Creates the actor, without configuration and connections, and starts its periodic tick.
     pub fn init(
         cx: CX![],
-        (settings, file): (Settings, PathBuf),
+        (settings, settings_file): (Settings, PathBuf),
         log: Logger,
         metrics: Arc<Metrics>,
         mesh: ActorOwn<Mesh>,
@@ -99,31 +103,31 @@
             me: settings.node.name.clone(),
             hall: settings.node.hall.clone(),
             subset: settings.subset,
-            lead: settings.stop_lead,
+            stop_lead: settings.stop_lead,
             silence: settings.silence,
-            stands: settings.stands,
+            group_stall: settings.stands,
             agent_port: settings.agent_port,
         };
         let policy = Policy::parse(&settings.policy).unwrap_or_default();
         let mut router = Self {
             targets: Targets::open(options, policy),
-            admission: Admission::open(settings.admit()),
+            admission: Admission::open(settings.admission_options()),
             options: openai::Options::from(&settings),
-            budgets: HashMap::new(),
-            open: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            requests: HashMap::new(),
             exchanges: HashMap::new(),
-            starts: HashMap::new(),
+            start_queues: HashMap::new(),
             pool: Pool::open(fwd_to!([cx], direct_event() as ((ConnectionKey, client::Event)))),
             traces: Traces::open(settings.stories),
-            watch: Watch::default(),
-            turns: Turns::default(),
-            unread: Unread::default(),
+            watch: SuspectTracker::default(),
+            turns: PeerTurns::default(),
+            unread: UnreadFields::default(),
             rng: StdRng::seed_from_u64(rand::random()),
-            stopping: None,
-            sleep: clock::Sleep::default(),
-            ending: false,
+            stopping_since: None,
+            suspension_detector: clock::SuspensionDetector::default(),
+            shutting_down: false,
             settings,
-            file,
+            settings_file,
             log,
             metrics,
             mesh,
@@ -135,39 +139,40 @@
 
     // Sending.
 
+    /// Sends a request to a target, unless it is refused as a suspect or its start is deferred.
     pub(crate) fn dispatch(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
-        if !self.holds_back(cx, now, id) && !self.defers(cx, now, id) {
+        if !self.refuse_if_blocked(cx, now, id) && !self.defer_start(cx, now, id) {
             self.place(cx, id);
         }
     }
 
-    /// Chooses a target for a request and sends it there.
+    /// Chooses a target for a request and sends it there, without asking the start queue.
     pub(crate) fn place(&mut self, cx: CX![], id: RequestId) {
         let now = clock::now();
-        if self.holds_back(cx, now, id) {
+        if self.refuse_if_blocked(cx, now, id) {
             return;
         }
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         if now >= open.flight.request().deadline {
-            // It waited while this process slept.
-            self.event(cx, id, 0, Event::Tick { heard: now });
+            // The deadline passed while the request waited, as when the process was suspended.
+            self.handle_event(cx, id, 0, Event::Tick { heard: now });
             return;
         }
-        if let Some(name) = open.counted.take() {
+        if let Some(name) = open.counted_target.take() {
             self.targets.ended(&name);
         }
-        let given = open.slot.take().and_then(|it| it.given());
-        let given = given.and_then(|it| self.targets.choose_given(now, it.life()));
+        let turn = open.slot.take().and_then(|it| it.granted());
+        let reserved = turn.and_then(|it| self.targets.choose_reserved(now, it.incarnation()));
         let choice = match &open.owner {
-            _ if given.is_some() => given,
+            _ if reserved.is_some() => reserved,
             Some(owner) => {
                 let choice = self.targets.choose_owner(now, owner);
-                let since = *open.waiting.get_or_insert(now);
+                let since = *open.waiting_since.get_or_insert(now);
                 if choice.is_none() && now < since + OWNER_WAIT && now < open.run.deadline {
-                    self.want(cx);
+                    self.update_wanted_peers(cx);
                     return;
                 }
                 choice
@@ -178,66 +183,66 @@
                 self.targets.choose(now, &mut self.rng, &open.served, prefix, tried)
             }
         };
-        open.waiting = None;
+        open.waiting_since = None;
         match choice {
             Some(choice) => self.send(cx, now, id, &choice),
-            None => self.no_target(cx, now, id),
+            None => self.handle_no_target(cx, now, id),
         }
     }
 
-    /// A request has no target now: it waits where that is of use, and is
-    /// refused at once where it is not.
-    fn no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
-        // A report may have come since the last tick.
-        self.targets.watch_groups(now);
-        let opens_soon = self.may_wait(now, id);
+    /// Handles a request that no target can take now: lets it wait if a target is expected in
+    /// time, and refuses it otherwise.
+    fn handle_no_target(&mut self, cx: CX![], now: Millis, id: RequestId) {
+        // Heartbeats may have arrived since the last tick.
+        self.targets.update_groups(now);
+        let ready_soon = self.should_wait_for_group(now, id);
         if self.seek_turn(cx, now, id) {
             return;
         }
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let rested = self.targets.rested(now, &open.served);
-        if open.begun && rested.unwrap_or(now) < open.spoke + RESUME_WAIT {
-            open.waiting = Some(now);
+        let paused_until = self.targets.pause_ends_at(now, &open.served);
+        if open.head_sent && paused_until.unwrap_or(now) < open.delivered_at + RESUME_WAIT {
+            open.waiting_since = Some(now);
             return;
         }
-        if rested.is_some() {
+        if paused_until.is_some() {
             let actions = open.flight.refuse(Refusal::TargetsRest);
-            self.act(cx, id, actions);
+            self.apply_actions(cx, id, actions);
             return;
         }
-        if opens_soon {
-            open.waiting = Some(now);
-            slog::info!(self.log, "waits for its group"; "id" => &open.run.label,
+        if ready_soon {
+            open.waiting_since = Some(now);
+            slog::info!(self.log, "waiting for its group to become ready"; "id" => &open.run.label,
                 "service" => &open.served.1, "after" => now.saturating_sub(open.run.arrived));
             return;
         }
-        let reason = match (&open.owner, self.targets.closed(now, &open.served)) {
+        let reason = match (&open.owner, self.targets.has_closed_group(now, &open.served)) {
             (Some(_), _) => Refusal::OwnerAway,
             (None, true) => Refusal::GroupClosed,
             (None, false) => Refusal::NoTarget,
         };
         let actions = open.flight.refuse(reason);
-        self.act(cx, id, actions);
+        self.apply_actions(cx, id, actions);
     }
 
-    /// Whether a request that has no target had better wait for its group.
-    fn may_wait(&self, now: Millis, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id) else { return false };
-        if !open.is_patient(now)
+    /// Returns whether a request without a target should wait for its group to become ready.
+    fn should_wait_for_group(&self, now: Millis, id: RequestId) -> bool {
+        let Some(open) = self.requests.get(&id) else { return false };
+        if !open.may_wait_for_group(now)
             || open.owner.is_some()
             || !self.targets.opens_soon(now, &open.served)
         {
             return false;
         }
-        let same = |it: &&Open| it.waiting.is_some() && it.served == open.served;
-        let most = self.targets.whole(&open.served).capacity * FORM_PART;
-        (self.open.values().filter(same).count() as f64) < most
+        let waits_too = |it: &&OpenRequest| it.waiting_since.is_some() && it.served == open.served;
+        let max_waiting = self.targets.total_share(&open.served).capacity * MAX_WAITING_FRACTION;
+        (self.requests.values().filter(waits_too).count() as f64) < max_waiting
     }
 
     fn send(&mut self, cx: CX![], now: Millis, id: RequestId, choice: &Choice) {
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         let incarnation = match choice.via {
@@ -245,23 +250,23 @@
             Via::Direct(..) => Incarnation(0),
         };
         let attempt = open.flight.send(now, &choice.name, incarnation);
-        open.sent = now;
-        open.counted = Some(choice.name.clone());
-        open.sought = false;
-        if !choice.given && !self.targets.spend(now, &choice.name) {
+        open.sent_at = now;
+        open.counted_target = Some(choice.name.clone());
+        open.turn_requested = false;
+        if !choice.reserved && !self.targets.spend(now, &choice.name) {
             self.metrics.sent_over_limit.inc();
-            slog::error!(self.log, "sent over the part of a limit"; "id" => &open.run.label,
+            slog::error!(self.log, "sent beyond this entry's part of a limit"; "id" => &open.run.label,
                 "target" => &choice.name);
         }
         if !self.watch.suspects.is_empty() {
-            self.note_suspect(now, id);
+            self.log_suspect(now, id);
         }
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else { return };
         self.targets.sent(&choice.name);
         if attempt.number == 1 {
             open.started = now;
-            let waited = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
-            self.metrics.wait.observe(waited);
+            let wait_s = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
+            self.metrics.wait.observe(wait_s);
         }
         let addr = match choice.via {
             Via::Agent(..) => None,
@@ -282,45 +287,48 @@
                 let body = dispatch_body(open, attempt, incarnation);
                 call!([self.mesh], send(peer, body));
             }
-            Via::Direct(addr, born) => {
-                let to = Destination { target: &choice.name, born, addr };
+            Via::Direct(addr, started_at) => {
+                let to = Destination { target: &choice.name, started_at, addr };
                 self.send_direct(cx, now, attempt, to);
             }
         }
     }
 
-    /// The retry budget of a service.
+    /// Returns the retry budget of a service, and creates it on first use.
     pub(crate) fn budget(&mut self, served: &Served) -> &mut Budget {
-        let options = self.settings.budget(self.targets.sharers());
-        let open = || Budget::open(options);
-        self.budgets.entry(served.clone()).or_insert_with(open)
+        let options = self.settings.budget_options(self.targets.sharers());
+        let new_budget = || Budget::open(options);
+        self.retry_budgets.entry(served.clone()).or_insert_with(new_budget)
     }
 
     // Events.
 
-    pub(crate) fn event(&mut self, cx: CX![], id: RequestId, number: u32, event: Event) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// Passes an event to the state machine of a request and carries out the resulting actions.
+    /// `number` is the attempt that the event belongs to, 0 if it concerns the whole request.
+    pub(crate) fn handle_event(&mut self, cx: CX![], id: RequestId, number: u32, event: Event) {
+        let Some(open) = self.requests.get_mut(&id) else {
             self.metrics.ignored(Ignored::LateAnswer);
             return;
         };
-        let mut budget = self.budgets.get_mut(&open.served);
-        let mut spend = || budget.as_mut().is_some_and(|it| it.spend());
-        let actions = open.flight.handle_event(clock::now(), number, event, &mut spend);
-        self.act(cx, id, actions);
+        let mut budget = self.retry_budgets.get_mut(&open.served);
+        let mut spend_retry = || budget.as_mut().is_some_and(|it| it.spend());
+        let actions = open.flight.handle_event(clock::now(), number, event, &mut spend_retry);
+        self.apply_actions(cx, id, actions);
     }
 
-    pub(crate) fn act(&mut self, cx: CX![], id: RequestId, actions: Vec<Action>) {
+    /// Carries out actions of a request's state machine, and removes the request once it has ended.
+    pub(crate) fn apply_actions(&mut self, cx: CX![], id: RequestId, actions: Vec<Action>) {
         for action in actions {
-            self.act_one(cx, id, action);
+            self.apply_action(cx, id, action);
         }
-        if self.open.get(&id).is_some_and(|it| it.flight.is_ended()) {
-            self.close(id);
+        if self.requests.get(&id).is_some_and(|it| it.flight.is_ended()) {
+            self.close_request(id);
         }
     }
 
-    fn act_one(&mut self, cx: CX![], id: RequestId, action: Action) {
+    fn apply_action(&mut self, cx: CX![], id: RequestId, action: Action) {
         let now = clock::now();
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         match action {
@@ -331,23 +339,23 @@
                     attempt: attempt.number,
                     offset: 0,
                 });
-                self.to_target(id, probe);
+                self.send_to_agent(id, probe);
             }
             Action::Cancel(attempt) => self.cancel(id, attempt),
             Action::Head(head) => {
-                let took = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
-                self.metrics.first_byte.observe(took);
-                open.begun = true;
-                open.spoke = now;
-                open.first = now.saturating_sub(open.run.arrived);
+                let wait_s = now.saturating_sub(open.run.arrived) as f64 / 1_000.0;
+                self.metrics.first_byte.observe(wait_s);
+                open.head_sent = true;
+                open.delivered_at = now;
+                open.time_to_first_byte = now.saturating_sub(open.run.arrived);
                 let stream = open.flight.request().stream;
-                self.settings.dialect.head(&open.run.reply, &open.run.label, head, stream);
+                self.settings.dialect.send_head(&open.run.reply, &open.run.label, head, stream);
             }
             Action::Deliver(bytes) => {
-                let paused = now.saturating_sub(open.spoke);
-                open.pause = open.pause.max((paused, now));
-                self.metrics.between.observe(paused as f64 / 1_000.0);
-                open.spoke = now;
+                let pause = now.saturating_sub(open.delivered_at);
+                open.longest_pause = open.longest_pause.max((pause, now));
+                self.metrics.between.observe(pause as f64 / 1_000.0);
+                open.delivered_at = now;
                 open.run.reply.send(Part::Bytes(bytes));
             }
             Action::Finish => {
@@ -355,17 +363,18 @@
                 open.run.reply.send(Part::End);
                 slog::info!(self.log, "answered"; "id" => &open.run.label,
                     "target" => open.flight.target(), "attempts" => open.flight.attempt().number,
-                    "took" => now.saturating_sub(open.run.arrived), "first" => open.first,
+                    "took" => now.saturating_sub(open.run.arrived), "first" => open.time_to_first_byte,
                     "started" => open.started.saturating_sub(open.run.arrived),
-                    "pause" => open.pause.0, "pause_until" => open.pause.1,
+                    "pause" => open.longest_pause.0, "pause_until" => open.longest_pause.1,
                     "service" => &open.served.1, "allowed" => open.route.as_ref().and_then(|it| it.pause),
                     "objective" => open.route.as_ref().map(|it| it.objective));
                 let (served, started) = (open.served.clone(), open.started);
-                let opened = (open.run.arrived + open.first).saturating_sub(started);
-                let starts = self.starts.entry(served).or_default();
-                starts.record_end(now.saturating_sub(started), opened);
+                let first_byte_after_start =
+                    (open.run.arrived + open.time_to_first_byte).saturating_sub(started);
+                let queue = self.start_queues.entry(served).or_default();
+                queue.record_end(now.saturating_sub(started), first_byte_after_start);
                 self.traces.add(now, id, Step::Answered);
-                self.ran_whole(id);
+                self.request_completed(id);
             }
             Action::Fail(failure) => self.fail(now, id, failure),
             Action::CountRetry(reason) => {
@@ -379,37 +388,38 @@
         }
     }
 
-    /// When a caller may come back that is refused while all that could serve it rest.
-    fn set_return(&mut self, now: Millis, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        if let Some(until) = self.targets.rested(now, &open.served) {
-            let spread = self.rng.random_range(0..COME_BACK_SPREAD);
-            open.comeback.get_or_insert((until - now).saturating_add(spread));
+    /// Sets the retry-after time of a request that fails while all of its possible targets are paused.
+    fn set_retry_after(&mut self, now: Millis, id: RequestId) {
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        if let Some(until) = self.targets.pause_ends_at(now, &open.served) {
+            let spread = self.rng.random_range(0..MAX_RETRY_AFTER_SPREAD);
+            open.retry_after.get_or_insert((until - now).saturating_add(spread));
         }
     }
 
     fn fail(&mut self, now: Millis, id: RequestId, failure: Failure) {
-        self.set_return(now, id);
-        let Some(open) = self.open.get(&id) else { return };
+        self.set_retry_after(now, id);
+        let Some(open) = self.requests.get(&id) else { return };
         self.metrics.refused(failure.reason);
         slog::warn!(self.log, "failed"; "id" => &open.run.label,
             "reason" => failure.reason.label(), "ran" => failure.ran.label(),
             "target" => open.flight.target(), "attempts" => open.flight.attempt().number,
-            "begun" => open.begun, "took" => now.saturating_sub(open.run.arrived),
+            "begun" => open.head_sent, "took" => now.saturating_sub(open.run.arrived),
             "customer" => &open.customer, "service" => &open.served.1,
-            "era" => open.revision.era, "revision" => open.revision.number, "comeback" => open.comeback);
+            "era" => open.revision.era, "revision" => open.revision.number, "comeback" => open.retry_after);
         self.traces.add(now, id, Step::Failed(failure));
         if failure.reason == Refusal::CallerGone {
             return;
         }
         let (reply, label) = (&open.run.reply, &open.run.label);
-        if open.begun {
-            self.settings.dialect.break_off(reply, label, failure);
+        if open.head_sent {
+            self.settings.dialect.abort_answer(reply, label, failure);
         } else {
-            self.settings.dialect.fail(reply, label, failure, open.comeback);
+            self.settings.dialect.send_failure(reply, label, failure, open.retry_after);
         }
     }
 
+    /// Cancels an attempt: closes its connection to the target, or notifies the target's agent.
     fn cancel(&mut self, id: RequestId, attempt: AttemptId) {
         if self.cancel_direct(id) {
             return;
@@ -418,30 +428,32 @@
             request: convert::request_bytes(attempt.request),
             attempt: attempt.number,
         });
-        self.to_target(id, cancel);
+        self.send_to_agent(id, cancel);
     }
 
-    fn to_target(&self, id: RequestId, body: Body) {
-        let target = self.open.get(&id).and_then(|it| it.flight.target());
+    /// Sends a message to the agent of the request's current target, if that is connected.
+    fn send_to_agent(&self, id: RequestId, body: Body) {
+        let target = self.requests.get(&id).and_then(|it| it.flight.target());
         if let Some(peer) = target.and_then(|it| self.targets.link(it)) {
             call!([self.mesh], send(peer, body));
         }
     }
 
-    fn close(&mut self, id: RequestId) {
-        let Some(open) = self.open.remove(&id) else {
+    /// Removes a request that has ended and releases its admission.
+    fn close_request(&mut self, id: RequestId) {
+        let Some(open) = self.requests.remove(&id) else {
             return;
         };
         self.admission.release(&open.ticket);
         self.exchanges.remove(&open.exchange);
-        if let Some(name) = open.counted {
+        if let Some(name) = open.counted_target {
             self.targets.ended(&name);
         }
-        self.metrics.in_flight.set(self.open.len() as i64);
+        self.metrics.in_flight.set(self.requests.len() as i64);
     }
 }
 
-fn dispatch_body(open: &Open, attempt: AttemptId, incarnation: Incarnation) -> Body {
+fn dispatch_body(open: &OpenRequest, attempt: AttemptId, incarnation: Incarnation) -> Body {
     let run = &open.run;
     Body::Dispatch(wire::Dispatch {
         request: convert::request_bytes(attempt.request),
@@ -451,8 +463,8 @@
         customer: open.customer.clone(),
         priority: open.priority as u32,
         unsafe_repeat: run.unsafe_repeat,
-        key: run.idempotency.clone().unwrap_or_default(),
-        issued: run.issued.unwrap_or(0),
+        key: run.idempotency_key.clone().unwrap_or_default(),
+        issued: run.key_issued_at.unwrap_or(0),
         method: run.head.method().to_string(),
         path: run.path.clone(),
         content_type: content_type(&run.head).to_owned(),
@@ -460,7 +472,7 @@
     })
 }
 
-fn route_name(open: &Open) -> Option<&str> {
+fn route_name(open: &OpenRequest) -> Option<&str> {
     open.route.as_ref().map(|it| it.name.as_str())
 }
 
