--- a/crates/sablepass-core/src/notices.rs
+++ b/crates/sablepass-core/src/notices.rs
@@ -64,7 +64,7 @@
     fn change(
         &mut self,
         now: Millis,
-        life: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
     ) -> Change {
@@ -75,15 +75,15 @@
         if change == Change::Ended {
             self.limit = None;
         } else if changed {
-            self.update_share(now, life, holders);
+            self.update_share(now, incarnation, holders);
         }
         change
     }
 
     /// Updates this entry's share of the limit.
-    fn update_share(&mut self, now: Millis, life: TargetIncarnation<'_>, holders: &Holders) {
+    fn update_share(&mut self, now: Millis, incarnation: TargetIncarnation<'_>, holders: &Holders) {
         if let Some(limit) = &mut self.limit {
-            let share = holders.share(life, limit.rate());
+            let share = holders.share(incarnation, limit.rate());
             limit.bucket.set(now, share);
         }
     }
@@ -98,8 +98,13 @@
 impl Notices {
     /// Records that a target requests a pause of `duration` milliseconds. Returns whether a new
     /// pause starts.
-    pub fn pause(&mut self, now: Millis, life: TargetIncarnation<'_>, duration: Millis) -> bool {
-        let notice = self.open(life);
+    pub fn pause(
+        &mut self,
+        now: Millis,
+        incarnation: TargetIncarnation<'_>,
+        duration: Millis,
+    ) -> bool {
+        let notice = self.open(incarnation);
         let begins = now >= notice.paused_until;
         if begins {
             notice.paused_since = now;
@@ -109,44 +114,44 @@
     }
 
     /// Records that a target announced that it leaves. Returns whether that is new.
-    pub fn leave(&mut self, now: Millis, life: TargetIncarnation<'_>) -> bool {
-        let leaving_since = &mut self.open(life).leaving_since;
+    pub fn leave(&mut self, now: Millis, incarnation: TargetIncarnation<'_>) -> bool {
+        let leaving_since = &mut self.open(incarnation).leaving_since;
         let begins = leaving_since.is_none();
         leaving_since.get_or_insert(now);
         begins
     }
 
-    fn open(&mut self, life: TargetIncarnation<'_>) -> &mut Notice {
-        let fresh = Notice { born: life.started_at, ..Notice::default() };
-        let notice = self.notices.entry(life.name.to_owned()).or_insert(fresh);
-        if notice.born != life.started_at {
+    fn open(&mut self, incarnation: TargetIncarnation<'_>) -> &mut Notice {
+        let fresh = Notice { born: incarnation.started_at, ..Notice::default() };
+        let notice = self.notices.entry(incarnation.name.to_owned()).or_insert(fresh);
+        if notice.born != incarnation.started_at {
             *notice = fresh;
         }
         notice
     }
 
-    fn get(&self, life: TargetIncarnation<'_>) -> Option<&Notice> {
-        self.notices.get(life.name).filter(|known| known.born == life.started_at)
+    fn get(&self, incarnation: TargetIncarnation<'_>) -> Option<&Notice> {
+        self.notices.get(incarnation.name).filter(|known| known.born == incarnation.started_at)
     }
 
     /// End of a target's pause, if it has requested one.
-    pub fn paused_until(&self, now: Millis, life: TargetIncarnation<'_>) -> Option<Millis> {
-        self.get(life).map(|it| it.paused_until).filter(|until| now < *until)
+    pub fn paused_until(&self, now: Millis, incarnation: TargetIncarnation<'_>) -> Option<Millis> {
+        self.get(incarnation).map(|it| it.paused_until).filter(|until| now < *until)
     }
 
     /// Start of a target's pause, if it has requested one.
-    pub fn paused_since(&self, now: Millis, life: TargetIncarnation<'_>) -> Option<Millis> {
-        self.get(life).filter(|it| now < it.paused_until).map(|it| it.paused_since)
+    pub fn paused_since(&self, now: Millis, incarnation: TargetIncarnation<'_>) -> Option<Millis> {
+        self.get(incarnation).filter(|it| now < it.paused_until).map(|it| it.paused_since)
     }
 
     /// Whether a target is leaving.
-    pub fn is_leaving(&self, life: TargetIncarnation<'_>) -> bool {
-        self.leaving_since(life).is_some()
+    pub fn is_leaving(&self, incarnation: TargetIncarnation<'_>) -> bool {
+        self.leaving_since(incarnation).is_some()
     }
 
     /// Since when a target is known to be leaving, if it is.
-    pub fn leaving_since(&self, life: TargetIncarnation<'_>) -> Option<Millis> {
-        self.get(life)?.leaving_since
+    pub fn leaving_since(&self, incarnation: TargetIncarnation<'_>) -> Option<Millis> {
+        self.get(incarnation)?.leaving_since
     }
 
     /// Start time of the incarnation whose notices are kept; 0 if there are none.
@@ -156,16 +161,16 @@
 
     /// Records that the instance list contains an incarnation of a target. Returns whether that
     /// ends a pause, since the pause belonged to another incarnation.
-    pub fn listed(&mut self, now: Millis, life: TargetIncarnation<'_>) -> bool {
-        let Some(notice) = self.notices.get_mut(life.name) else { return false };
+    pub fn listed(&mut self, now: Millis, incarnation: TargetIncarnation<'_>) -> bool {
+        let Some(notice) = self.notices.get_mut(incarnation.name) else { return false };
         notice.unlisted_since = None;
-        if notice.born == life.started_at {
+        if notice.born == incarnation.started_at {
             return false;
         }
         let was_paused = now < notice.paused_until;
         // The instance list may show a new incarnation late, after its first notices have arrived.
-        let own = if notice.born < life.started_at {
-            notice.of_incarnation(life.started_at)
+        let own = if notice.born < incarnation.started_at {
+            notice.of_incarnation(incarnation.started_at)
         } else {
             Notice::default()
         };
@@ -173,7 +178,7 @@
         if own.is_active(now) {
             *notice = own;
         } else {
-            self.notices.remove(life.name);
+            self.notices.remove(incarnation.name);
         }
         was_paused && !is_paused
     }
@@ -199,53 +204,58 @@
     pub fn answered(
         &mut self,
         now: Millis,
-        life: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         sent: Millis,
         announced: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, life, announced, holders, |limit| limit.answered(now, sent, announced))
+        self.limit(now, incarnation, announced, holders, |limit| {
+            limit.answered(now, sent, announced)
+        })
     }
 
     /// Processes a peer's report of a target's limit; none if the limit ended.
     pub fn reported_by_peer(
         &mut self,
         now: Millis,
-        life: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, life, rate, holders, |limit| limit.reported_by_peer(now, rate))
+        self.limit(now, incarnation, rate, holders, |limit| limit.reported_by_peer(now, rate))
     }
 
     /// Processes the report of the agent through which all requests to a target go.
     pub fn reported_by_agent(
         &mut self,
         now: Millis,
-        life: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
     ) -> Change {
-        self.limit(now, life, rate, holders, |limit| limit.reported_by_agent(now, rate))
+        self.limit(now, incarnation, rate, holders, |limit| limit.reported_by_agent(now, rate))
     }
 
     fn limit(
         &mut self,
         now: Millis,
-        life: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         rate: Option<Rate>,
         holders: &Holders,
         change: impl FnOnce(&mut Limit) -> Change,
     ) -> Change {
-        let known = self.get(life).is_some_and(|it| it.limit.is_some());
+        let known = self.get(incarnation).is_some_and(|it| it.limit.is_some());
         let Some(rate) = rate.filter(|_| !known) else {
-            let notice =
-                self.notices.get_mut(life.name).filter(|known| known.born == life.started_at);
-            return notice.map_or(Change::None, |known| known.change(now, life, holders, change));
+            let notice = self
+                .notices
+                .get_mut(incarnation.name)
+                .filter(|known| known.born == incarnation.started_at);
+            return notice
+                .map_or(Change::None, |known| known.change(now, incarnation, holders, change));
         };
         let mut limit = Limit::new(now, rate);
-        limit.bucket.set(now, holders.share(life, rate));
-        self.open(life).limit = Some(limit);
+        limit.bucket.set(now, holders.share(incarnation, rate));
+        self.open(incarnation).limit = Some(limit);
         Change::Set(rate)
     }
 
@@ -253,8 +263,8 @@
     pub fn apply_pending(&mut self, now: Millis, holders: &Holders) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, notice) in &mut self.notices {
-            let life = TargetIncarnation { name, started_at: notice.born };
-            let change = notice.change(now, life, holders, |limit| limit.apply_pending(now));
+            let incarnation = TargetIncarnation { name, started_at: notice.born };
+            let change = notice.change(now, incarnation, holders, |limit| limit.apply_pending(now));
             if change != Change::None {
                 changes.push((name.clone(), change));
             }
@@ -265,19 +275,19 @@
     /// Updates this entry's share of all limits after the holders have changed.
     pub fn update_shares(&mut self, now: Millis, holders: &Holders) {
         for (name, notice) in &mut self.notices {
-            let life = TargetIncarnation { name, started_at: notice.born };
-            notice.update_share(now, life, holders);
+            let incarnation = TargetIncarnation { name, started_at: notice.born };
+            notice.update_share(now, incarnation, holders);
         }
     }
 
     /// Limit that a target announced, if any.
-    pub fn limited(&self, life: TargetIncarnation<'_>) -> Option<&Limit> {
-        self.get(life)?.limit.as_ref()
+    pub fn limited(&self, incarnation: TargetIncarnation<'_>) -> Option<&Limit> {
+        self.get(incarnation)?.limit.as_ref()
     }
 
     /// When this entry may send one more request to a target; none if the target has no limit.
-    pub fn next(&self, now: Millis, life: TargetIncarnation<'_>) -> Option<Turn> {
-        let next = self.limited(life)?.bucket.next(now);
+    pub fn next(&self, now: Millis, incarnation: TargetIncarnation<'_>) -> Option<Turn> {
+        let next = self.limited(incarnation)?.bucket.next(now);
         Some(next.map_or(Turn::Never, Turn::In))
     }
 
@@ -286,11 +296,13 @@
     pub fn reserve(
         &mut self,
         now: Millis,
-        life: TargetIncarnation<'_>,
+        incarnation: TargetIncarnation<'_>,
         max_wait: Millis,
     ) -> Option<Turn> {
-        let notice =
-            self.notices.get_mut(life.name).filter(|known| known.born == life.started_at)?;
+        let notice = self
+            .notices
+            .get_mut(incarnation.name)
+            .filter(|known| known.born == incarnation.started_at)?;
         Some(notice.limit.as_mut()?.bucket.reserve(now, max_wait))
     }
 
