--- a/crates/sablepass-core/src/flight.rs
+++ b/crates/sablepass-core/src/flight.rs
@@ -479,7 +479,7 @@
     ) -> Vec<Action> {
         let mut ran = reason.ran_after_agent_refusal();
         if reason == Refusal::Duplicate {
-            // A duplicate of the dispatch message was refused; the first copy is still handled.
+            // A duplicate of the dispatch message was refused; the first is still being handled.
             return vec![Action::CountIgnored(Ignored::LateAnswer)];
         }
         if self.head_delivered {
--- a/crates/sablepass-entry/src/trace.rs
+++ b/crates/sablepass-entry/src/trace.rs
@@ -40,7 +40,7 @@
         /// Pause that the target requested from this entry.
         pause: Option<Millis>,
     },
-    /// All possible targets receive requests at their limits; the request was given a turn at one.
+    /// All candidate targets are at their rate limits; the request may be sent to this one later.
     Turn {
         /// Qualified target.
         target: String,
