--- a/crates/sablepass-entry/src/starts.rs
+++ b/crates/sablepass-entry/src/starts.rs
@@ -28,7 +28,7 @@
         let served = open.served.clone();
         let mut room = self.targets.start_room(now, &served, pause as f64);
         if matches!(room, Room::Opens { .. } | Room::Closed) {
-            // The state of groups is updated at each tick; a report may have arrived since the last one.
+            // The state of groups is updated at each tick; a report may have arrived since.
             self.targets.update_groups(now);
             room = self.targets.start_room(now, &served, pause as f64);
         }
--- a/crates/sablepass-entry/src/suspects.rs
+++ b/crates/sablepass-entry/src/suspects.rs
@@ -279,8 +279,8 @@
         }
     }
 
-    /// Sets the retry delay for the caller of a request that is blocked, or is suspected and paused.
-    /// Returns false if the request may be sent.
+    /// Sets the retry delay for the caller of a request that is blocked, or is suspected and
+    /// paused. Returns false if the request may be sent.
     fn set_retry_delay(&mut self, now: Millis, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id) else { return false };
         let fingerprint = open.fingerprint();
